--- a/bench/src/capacity/reportExchanges.ts
+++ b/bench/src/capacity/reportExchanges.ts
@@ -1,6 +1,6 @@
 import {createServer} from 'node:http';
 import {
-  askReport,
+  fetchReport,
   createAgentClient,
   createAgentRouter,
   createControlHandler,
@@ -85,7 +85,7 @@
   const poll = async () => {
     const answer = await (kind === 'whole'
       ? client.report.query()
-      : askReport(client, held));
+      : fetchReport(client, held));
     const {incarnation, sequence} = answer;
     held = {incarnation, sequence};
   };
--- a/packages/banyanfold-entry/src/plugins/planner.ts
+++ b/packages/banyanfold-entry/src/plugins/planner.ts
@@ -4,7 +4,7 @@
   type Move,
   type PlacementDecision,
 } from '@banyanfold/decisions';
-import {askMisses, createEntryClient} from '@banyanfold/protocol';
+import {fetchMisses, createEntryClient} from '@banyanfold/protocol';
 import {v4 as uuidV4} from 'uuid';
 import {
   entryPlugins,
@@ -92,7 +92,7 @@
       peers.map(async ({vmId, host, port}) => {
         const {internalKey, reportTimeoutMs: timeoutMs} = settings;
         const client = createEntryClient({host, port, internalKey, timeoutMs});
-        this.meter.noteMisses(vmId, await askMisses(client));
+        this.meter.noteMisses(vmId, await fetchMisses(client));
       }),
     );
   }
--- a/packages/banyanfold-entry/src/view/agentState.ts
+++ b/packages/banyanfold-entry/src/view/agentState.ts
@@ -1,5 +1,5 @@
 import {
-  completeReport,
+  applyReportChanges,
   type AgentReport,
   type LoadDigest,
   type ReportChanges,
@@ -67,7 +67,7 @@
     if (answer.incarnation !== this.incarnation) return;
     const held = this.report;
     if (held && this.isOlder(answer, held)) return;
-    const report = completeReport(held, answer);
+    const report = applyReportChanges(held, answer);
     if (!report) return;
     this.report = report;
     this.runner.runnerRole = report.runnerRole;
--- a/packages/banyanfold-entry/src/view/reportPoller.ts
+++ b/packages/banyanfold-entry/src/view/reportPoller.ts
@@ -1,5 +1,5 @@
 import type {Clock, Logger} from '@banyanfold/core';
-import {askReport} from '@banyanfold/protocol';
+import {fetchReport} from '@banyanfold/protocol';
 import type {EntrySettings} from '../settings.js';
 import type {AgentClients} from './agentClients.js';
 import type {AgentState} from './agentState.js';
@@ -33,7 +33,7 @@
     if (this.open.has(agent.vmId)) return;
     this.open.add(agent.vmId);
     try {
-      const report = await askReport(
+      const report = await fetchReport(
         this.clients.of(agent),
         agent.reportCursor(),
       );
--- a/packages/banyanfold-gateway/src/__tests__/copyRevisions.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/copyRevisions.test.ts
@@ -1,9 +1,9 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import type {ToldRunner} from '../peers/peerContract.js';
+import type {RunnerCopies} from '../peers/peerContract.js';
 import {CopyRevisions, type KnownRevision} from '../placement/copyRevisions.js';
 
-function runner(runnerId: string, ...models: string[]): ToldRunner {
+function runner(runnerId: string, ...models: string[]): RunnerCopies {
   return {runnerId, models, adapters: [], isBusy: false};
 }
 
--- a/packages/banyanfold-gateway/src/__tests__/crashWatch.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashDetector.test.ts
@@ -1,6 +1,6 @@
 import {MemoryLogger, Metrics, VirtualClock} from '@banyanfold/core';
 import {beforeEach, describe, expect, it} from 'vitest';
-import {CrashWatch, type SeenCrash} from '../crashes/crashWatch.js';
+import {CrashDetector, type ObservedCrash} from '../crashes/crashDetector.js';
 import type {ListenerState} from '../crashes/probeListener.js';
 import type {RunnerRegistration} from '../types.js';
 import {FleetView} from '../view/fleetView.js';
@@ -18,8 +18,8 @@
 
 let clock: VirtualClock;
 let view: FleetView;
-let watch: CrashWatch;
-let crashes: SeenCrash[];
+let watch: CrashDetector;
+let crashes: ObservedCrash[];
 let probes: number;
 let listener: ListenerState;
 
@@ -31,7 +31,7 @@
   crashes = [];
   probes = 0;
   listener = 'refused';
-  watch = new CrashWatch({
+  watch = new CrashDetector({
     clock,
     logger,
     metrics: new Metrics(),
@@ -44,22 +44,22 @@
   });
 });
 
-describe('CrashWatch', () => {
+describe('CrashDetector', () => {
   it('tells all requests that a crashed runner cut off, with one probe', async () => {
-    watch.noteCutOff(RUNNER, 'f1');
-    watch.noteCutOff(RUNNER, 'f2');
+    watch.noteConnectionLost(RUNNER, 'f1');
+    watch.noteConnectionLost(RUNNER, 'f2');
     await clock.advance(0);
-    watch.noteCutOff(RUNNER, 'f3');
+    watch.noteConnectionLost(RUNNER, 'f3');
     expect(probes).toBe(1);
     expect(crashes).toEqual([
-      {life: 'r1@5', fingerprints: ['f1', 'f2']},
-      {life: 'r1@5', fingerprints: ['f3']},
+      {incarnation: 'r1@5', fingerprints: ['f1', 'f2']},
+      {incarnation: 'r1@5', fingerprints: ['f3']},
     ]);
   });
 
   it('takes a runner that still listens for alive', async () => {
     listener = 'listening';
-    watch.noteCutOff(RUNNER, 'f1');
+    watch.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(0);
     view.onRemoval('r1');
     expect(crashes).toEqual([]);
@@ -69,23 +69,23 @@
     // Requests that a leaving runner cut off would be under suspicion: it ends
     // at its time whatever it runs, and its address refuses connections then.
     view.onRegistration({...RUNNER, leaving: true, heartbeatNumber: 2});
-    watch.noteCutOff(RUNNER, 'f1');
+    watch.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(0);
     expect(crashes).toEqual([]);
   });
 
   it('asks the registry where nothing answers at all', async () => {
     listener = 'unknown';
-    watch.noteCutOff(RUNNER, 'f1');
+    watch.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(1_000);
     expect(crashes).toEqual([]);
     view.onRemoval('r1');
-    expect(crashes).toEqual([{life: 'r1@5', fingerprints: ['f1']}]);
+    expect(crashes).toEqual([{incarnation: 'r1@5', fingerprints: ['f1']}]);
   });
 
   it('believes the registry of a new life, but not of one long after', async () => {
     listener = 'unknown';
-    watch.noteCutOff(RUNNER, 'f1');
+    watch.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(20_000);
     view.onRegistration({...RUNNER, bornMs: 90_000, heartbeatNumber: 1});
     expect(crashes).toEqual([]);
--- a/packages/banyanfold-gateway/src/__tests__/crashLedger.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashLedger.test.ts
@@ -1,6 +1,6 @@
 import {MemoryLogger, Metrics, VirtualClock} from '@banyanfold/core';
 import {beforeEach, describe, expect, it} from 'vitest';
-import type {CrashNews} from '../crashes/crashContract.js';
+import type {CrashReport} from '../crashes/crashContract.js';
 import {CrashLedger, QUARANTINE_MS} from '../crashes/crashLedger.js';
 
 const SETTLED_MS = 1_000;
@@ -21,8 +21,8 @@
   });
 });
 
-function note(news: Partial<CrashNews>): void {
-  ledger.note({
+function note(news: Partial<CrashReport>): void {
+  ledger.addReport({
     crashes: [],
     served: [],
     trialsOver: [],
@@ -38,7 +38,7 @@
 
 /** Fingerprints of suspects, those in quarantine with a mark. */
 function suspects(): string[] {
-  const {suspects: rows = []} = ledger.tell(undefined);
+  const {suspects: rows = []} = ledger.suspectListFor(undefined);
   return rows.map(({fingerprint, quarantinedMs}) =>
     quarantinedMs === undefined ? fingerprint : `${fingerprint}!`,
   );
@@ -145,12 +145,14 @@
 
   it('tells the list only to those that have not heard it', async () => {
     for (const life of ['l1', 'l2']) await crash(life, 'a');
-    const {epoch, revision, suspects: rows} = ledger.tell(undefined);
+    const {epoch, revision, suspects: rows} = ledger.suspectListFor(undefined);
     expect(rows).toHaveLength(1);
-    expect(ledger.tell({epoch, revision}).suspects).toBeUndefined();
-    expect(ledger.tell({epoch: 'h0', revision}).suspects).toHaveLength(1);
+    expect(ledger.suspectListFor({epoch, revision}).suspects).toBeUndefined();
+    expect(
+      ledger.suspectListFor({epoch: 'h0', revision}).suspects,
+    ).toHaveLength(1);
     await crashAlone('a');
-    expect(ledger.tell({epoch, revision}).suspects).toHaveLength(1);
+    expect(ledger.suspectListFor({epoch, revision}).suspects).toHaveLength(1);
   });
 
   it('takes over what another holder has found', () => {
--- a/packages/banyanfold-gateway/src/__tests__/quarantineKeeper.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/quarantineKeeper.test.ts
@@ -65,7 +65,7 @@
     store,
     lease: {current: () => lease} as unknown as LeaseSource,
     suspects,
-    isHolderHeard: () => isHeard,
+    isHolderReachable: () => isHeard,
   });
   keeper.start();
   return {keeper, suspects};
@@ -79,7 +79,7 @@
     await clock.advance(2_000);
     expect(calls).toBe(1);
     expect(suspects.verdictOf('a')).toBe('quarantined');
-    expect(suspects.news()?.quarantined).toEqual(['a']);
+    expect(suspects.pendingReport()?.quarantined).toEqual(['a']);
     lease.owns = true;
     await clock.advance(2_000);
     expect(calls).toBe(1);
@@ -93,7 +93,7 @@
   it('writes what it knows again when the store comes back older', async () => {
     const {keeper} = startKeeper();
     await clock.advance(1_000);
-    keeper.note('a');
+    keeper.add('a');
     await clock.advance(1_000);
     const written = new Map(kept);
     kept.clear();
@@ -120,7 +120,7 @@
     isHeard = false;
     await clock.advance(10_000);
     expect(calls).toBe(1);
-    suspects.noteCrash({life: 'r1@1', fingerprints: ['a']});
+    suspects.noteCrash({incarnation: 'r1@1', fingerprints: ['a']});
     kept.set('a', clock.wallMs());
     await clock.advance(2_500);
     expect(suspects.verdictOf('a')).toBe('quarantined');
@@ -136,7 +136,7 @@
     const {keeper} = startKeeper();
     await clock.advance(1_000);
     isStoreLost = true;
-    keeper.note('a');
+    keeper.add('a');
     await clock.advance(3_000);
     expect(kept.size).toBe(0);
     isStoreLost = false;
@@ -152,7 +152,7 @@
     await clock.advance(1_000);
     expect(suspects.verdictOf('old')).toBeUndefined();
     expect(suspects.verdictOf('f1')).toBe('quarantined');
-    keeper.note('new');
+    keeper.add('new');
     await clock.advance(1_000);
     expect(kept.size).toBe(500);
     expect(kept.has('old')).toBe(false);
--- a/packages/banyanfold-gateway/src/__tests__/relay.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/relay.test.ts
@@ -6,7 +6,7 @@
 import {Relay} from '../peers/relay.js';
 import {RunnerRateLimits} from '../runners/runnerRateLimits.js';
 import {OutcomeMeter} from '../runners/outcomeMeter.js';
-import {UnansweredDemand} from '../peers/unansweredDemand.js';
+import {PendingDemand} from '../peers/pendingDemand.js';
 import {DemandMeter} from '../placement/demandMeter.js';
 
 const OWN = {address: 'relay:7', failureDomain: 'a', processorShare: 1};
@@ -115,7 +115,7 @@
   it('passes the word on with its age, and what is open elsewhere', async () => {
     // An entry sees the work of all others once: that of the holder's word, of
     // the relay itself, and of its group, but for its own.
-    relay.noteWord(wordOf());
+    relay.noteHolderState(wordOf());
     ownWork = 3;
     told(inputOf('e1:7', {openWork: {r1: 5}}));
     await clock.advance(200);
@@ -130,10 +130,10 @@
   });
 
   it('tells the holder the sum of its group, until a member falls silent', async () => {
-    relay.noteWord(wordOf());
+    relay.noteHolderState(wordOf());
     ownWork = 3;
     told(inputOf('e1:7', {openWork: {r1: 5}, waiting: {m1: 2}}));
-    const load = relay.load(OWN);
+    const load = relay.groupLoad(OWN);
     expect(load.members.map(({address}) => address)).toEqual([
       OWN.address,
       'e1:7',
@@ -141,13 +141,13 @@
     expect(load.openWork).toEqual({r1: 8});
     expect(load.waiting).toEqual({m1: 2});
     await clock.advance(1_500);
-    expect(relay.load(OWN).openWork).toEqual({r1: 3});
+    expect(relay.groupLoad(OWN).openWork).toEqual({r1: 3});
   });
 
   it('counts a batch once that was sent again', () => {
     // The holder would plan for a burst: an answer was lost, and the entry sends
     // its demand a second time.
-    relay.noteWord(wordOf());
+    relay.noteHolderState(wordOf());
     const batch = {batchId: 'e1#5', demand: [ASKED]};
     told(inputOf('e1:7', {batch}));
     told(inputOf('e1:7', {batch}));
@@ -161,7 +161,7 @@
       kind: 'not-holder',
       holderAddress: HOLDER,
     });
-    relay.noteWord(wordOf());
+    relay.noteHolderState(wordOf());
     await clock.advance(1_000);
     expect(relay.exchange(inputOf('e1:7')).kind).toBe('not-holder');
   });
@@ -169,9 +169,9 @@
   it('passes on who was at runners that crashed, and who is a suspect', () => {
     // Behind a relay an entry would never hear that a request crashes runners, and
     // send it on.
-    relay.noteWord(wordOf());
+    relay.noteHolderState(wordOf());
     const quarantined = [{fingerprint: 'a', quarantinedMs: 5_000}];
-    suspects.adopt({epoch: 'h', revision: 3, suspects: quarantined});
+    suspects.applyList({epoch: 'h', revision: 3, suspects: quarantined});
     const news = {
       crashes: [{life: 'r1@1', fingerprints: ['b']}],
       served: [],
@@ -180,7 +180,7 @@
     };
     const output = told(inputOf('e1:7', {crashes: news}));
     expect(output.suspects?.suspects).toEqual(quarantined);
-    expect(suspects.news()?.crashes).toEqual(news.crashes);
+    expect(suspects.pendingReport()?.crashes).toEqual(news.crashes);
     const known = {epoch: 'h', revision: 3};
     expect(told(inputOf('e1:7', {knownSuspects: known})).suspects).toEqual(
       known,
@@ -188,21 +188,21 @@
   });
 
   it('passes newer versions on, both ways', () => {
-    relay.noteWord(wordOf());
+    relay.noteHolderState(wordOf());
     told(inputOf('e1:7', {configVersion: 6, runnersChange: 12}));
     expect(told(inputOf('e2:7')).configVersion).toBe(6);
-    expect(relay.newest({configVersion: 4, runnersChange: 9})).toEqual({
+    expect(relay.newestVersions({configVersion: 4, runnersChange: 9})).toEqual({
       configVersion: 6,
       runnersChange: 12,
     });
   });
 });
 
-describe('UnansweredDemand', () => {
+describe('PendingDemand', () => {
   it('sends the same batch until it is answered, and loses nothing', () => {
     // Copies come for what callers ask: an exchange gets no answer, and what it
     // carried is sent again while new demand waits for the next one.
-    const unanswered = new UnansweredDemand(
+    const unanswered = new PendingDemand(
       demand,
       () => [],
       () => [],
@@ -210,11 +210,11 @@
       'e1#0',
     );
     demand.add([ASKED]);
-    const first = unanswered.next();
+    const first = unanswered.nextBatch();
     demand.add([{...ASKED, model: 'm2'}]);
-    expect(unanswered.next()).toEqual(first);
-    unanswered.noteAnswered();
-    const second = unanswered.next();
+    expect(unanswered.nextBatch()).toEqual(first);
+    unanswered.acknowledge();
+    const second = unanswered.nextBatch();
     expect(second.batchId).not.toBe(first.batchId);
     expect(second.demand.map(({model}) => model)).toEqual(['m2']);
   });
--- a/packages/banyanfold-gateway/src/context.ts
+++ b/packages/banyanfold-gateway/src/context.ts
@@ -3,7 +3,7 @@
 import type {UsageAccounts} from './callers/usageAccounts.js';
 import type {TrialInput} from './crashes/crashContract.js';
 import type {CrashSuspects} from './crashes/crashSuspects.js';
-import type {CrashWatch} from './crashes/crashWatch.js';
+import type {CrashDetector} from './crashes/crashDetector.js';
 import type {ComingWork} from './requests/comingWork.js';
 import type {DemandMeter} from './placement/demandMeter.js';
 import type {GatewayOptions} from './options.js';
@@ -38,7 +38,7 @@
   states: RunnerStates;
   gate: PromptGate;
   rateLimits: RunnerRateLimits;
-  crashWatch: CrashWatch;
+  crashWatch: CrashDetector;
   suspects: CrashSuspects;
   held: HeldCopies;
   demand: DemandMeter;
--- a/packages/banyanfold-gateway/src/crashes/crashContract.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashContract.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 
 /** What an entry, or a relay for its group, tells of crashes. */
-export const crashNewsSchema = z.object({
+export const crashReportSchema = z.object({
   /** Requests that were at a runner when it crashed, by life of the runner. */
   crashes: z.array(
     z.object({life: z.string(), fingerprints: z.array(z.string())}),
@@ -14,29 +14,29 @@
   quarantined: z.array(z.string()),
 });
 
-export type CrashNews = z.infer<typeof crashNewsSchema>;
+export type CrashReport = z.infer<typeof crashReportSchema>;
 
-const toldSuspectSchema = z.object({
+const suspectSchema = z.object({
   fingerprint: z.string(),
   /** Until it leaves quarantine, in ms; undefined for a mere suspect. */
   quarantinedMs: z.number().optional(),
 });
 
-export type ToldSuspect = z.infer<typeof toldSuspectSchema>;
+export type Suspect = z.infer<typeof suspectSchema>;
 
 /** What the holder tells all entries. */
-export const toldSuspectsSchema = z.object({
+export const suspectListSchema = z.object({
   /** Differs with each holder, and with each change of the list. */
   epoch: z.string(),
   revision: z.number(),
   /** The whole list; left out for one that has this revision. */
-  suspects: z.array(toldSuspectSchema).optional(),
+  suspects: z.array(suspectSchema).optional(),
 });
 
-export type ToldSuspects = z.infer<typeof toldSuspectsSchema>;
-export type KnownSuspects = Pick<ToldSuspects, 'epoch' | 'revision'>;
+export type SuspectList = z.infer<typeof suspectListSchema>;
+export type SuspectListVersion = Pick<SuspectList, 'epoch' | 'revision'>;
 
-export const knownSuspectsSchema = toldSuspectsSchema.pick({
+export const suspectListVersionSchema = suspectListSchema.pick({
   epoch: true,
   revision: true,
 });
--- a/packages/banyanfold-gateway/src/crashes/crashWatch.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashDetector.ts
@@ -4,20 +4,20 @@
 import type {ListenerState} from './probeListener.js';
 
 /** Requests that were at a runner when it crashed, as this process saw it. */
-export interface SeenCrash {
+export interface ObservedCrash {
   /** Names one life of a runner. */
-  life: string;
+  incarnation: string;
   fingerprints: readonly string[];
 }
 
-export interface CrashWatchOptions {
+export interface CrashDetectorOptions {
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
   view: FleetView;
   probe(address: string): Promise<ListenerState>;
   /** Called again for the same life as more of its requests come to light. */
-  onCrash(crash: SeenCrash): void;
+  onCrash(crash: ObservedCrash): void;
 }
 
 /** What is known of a runner that cut requests off. */
@@ -38,15 +38,15 @@
  * runner's address is tried once; where nothing answers at all, the registry's
  * word decides, which comes seconds later.
  */
-export class CrashWatch {
+export class CrashDetector {
   private readonly cutOffs = new Map<string, CutOff>();
 
-  constructor(private readonly options: CrashWatchOptions) {
+  constructor(private readonly options: CrashDetectorOptions) {
     options.view.onChange(() => this.askRegistry());
   }
 
   /** The runner's side ended a request's connection before its answer was out. */
-  noteCutOff(sentTo: RunnerRegistration, fingerprint: string): void {
+  noteConnectionLost(sentTo: RunnerRegistration, fingerprint: string): void {
     const {view, clock} = this.options;
     const {runnerId, bornMs, address} = sentTo;
     const known = view.runner(runnerId);
@@ -103,7 +103,7 @@
       requests: fingerprints.length,
       fingerprints: fingerprints.join(','),
     });
-    onCrash({life, fingerprints});
+    onCrash({incarnation: life, fingerprints});
   }
 
   private forgetOld(): void {
--- a/packages/banyanfold-gateway/src/crashes/crashLedger.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashLedger.ts
@@ -6,9 +6,9 @@
   type CrashVerdict,
 } from '@banyanfold/decisions';
 import type {
-  CrashNews,
-  KnownSuspects,
-  ToldSuspects,
+  CrashReport,
+  SuspectListVersion,
+  SuspectList,
   TrialInput,
   TrialOutput,
 } from './crashContract.js';
@@ -64,7 +64,7 @@
   }
 
   /** Takes in what an entry tells; told twice, it counts once. */
-  note(news: CrashNews): void {
+  addReport(news: CrashReport): void {
     for (const {life, fingerprints} of news.crashes) {
       for (const fingerprint of fingerprints) {
         this.noteCrash(life, fingerprint);
@@ -89,7 +89,7 @@
   }
 
   /** The list of suspects, for one that has heard of it up to `known`. */
-  tell(known: KnownSuspects | undefined): ToldSuspects {
+  suspectListFor(known: SuspectListVersion | undefined): SuspectList {
     this.judge();
     const {epoch, clock} = this.options;
     const {revision} = this;
@@ -108,7 +108,7 @@
 
   permitTrial(input: TrialInput): TrialOutput {
     const {fingerprint} = input;
-    for (const overdue of this.trials.endOverdue()) {
+    for (const overdue of this.trials.expireOverdue()) {
       this.noteUnresolved(overdue);
     }
     this.judge();
@@ -131,7 +131,7 @@
     const row = this.rowOf(fingerprint);
     row.atMs = this.options.clock.nowMs();
     if (row.crashes.has(life)) return;
-    const isTrial = this.trials.isTriedAt(fingerprint, life);
+    const isTrial = this.trials.isTrialRunAt(fingerprint, life);
     if (!isTrial && row.crashes.size >= MAX_CRASHES_KEPT) return;
     row.crashes.add(life);
     if (isTrial) row.hasCrashedAlone = true;
--- a/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
@@ -1,7 +1,11 @@
 import type {Clock} from '@banyanfold/core';
 import {JUDGE_CRASHES_OPTIONS, type CrashVerdict} from '@banyanfold/decisions';
-import type {CrashNews, KnownSuspects, ToldSuspects} from './crashContract.js';
-import type {SeenCrash} from './crashWatch.js';
+import type {
+  CrashReport,
+  SuspectListVersion,
+  SuspectList,
+} from './crashContract.js';
+import type {ObservedCrash} from './crashDetector.js';
 
 /** A crash that this process has seen itself. */
 interface OwnCrash {
@@ -31,7 +35,7 @@
  */
 export class CrashSuspects {
   /** Called when there is something to tell that shouldn't wait. */
-  onNews: () => void = () => {};
+  onReport: () => void = () => {};
   /** By fingerprint, the one that crashed last at the end. */
   private readonly own = new Map<string, OwnCrash[]>();
   /** By fingerprint, until when it is in quarantine; undefined for a suspect. */
@@ -39,10 +43,10 @@
   /** The same, from the store and from former holders. */
   private kept = new Map<string, number | undefined>();
   private keptUntilMs = Number.POSITIVE_INFINITY;
-  private toldKnown: KnownSuspects | undefined;
+  private toldKnown: SuspectListVersion | undefined;
   private toldAtMs = Number.NEGATIVE_INFINITY;
-  private unanswered: CrashNews = emptyNews();
-  private next: CrashNews = emptyNews();
+  private unanswered: CrashReport = emptyNews();
+  private next: CrashReport = emptyNews();
 
   constructor(private readonly clock: Clock) {}
 
@@ -65,17 +69,17 @@
   }
 
   /** The store says that they are in quarantine, each for so long, in ms. */
-  noteStored(forMs: ReadonlyMap<string, number>): void {
+  noteStoredQuarantine(forMs: ReadonlyMap<string, number>): void {
     const nowMs = this.clock.nowMs();
     for (const [fingerprint, leftMs] of forMs) {
       this.kept.set(fingerprint, nowMs + leftMs);
     }
     this.keptUntilMs = Math.max(this.keptUntilMs, nowMs + STORED_HOLDS_MS);
     const quarantined = [...forMs.keys()];
-    if (quarantined.length > 0) this.relay({...emptyNews(), quarantined});
+    if (quarantined.length > 0) this.forward({...emptyNews(), quarantined});
   }
 
-  noteCrash({life, fingerprints}: SeenCrash): void {
+  noteCrash({incarnation: life, fingerprints}: ObservedCrash): void {
     const atMs = this.clock.nowMs();
     for (const fingerprint of fingerprints) {
       const crashes = this.own.get(fingerprint) ?? [];
@@ -85,7 +89,7 @@
     }
     this.forgetOld(atMs);
     this.next.crashes.push({life, fingerprints: [...fingerprints]});
-    this.onNews();
+    this.onReport();
   }
 
   /** A runner answered it whole: it crashes nothing. */
@@ -95,19 +99,19 @@
     const wasTold = isSuspect && this.told.delete(fingerprint);
     if (!wasTold && !wasSeen) return;
     this.next.served.push(fingerprint);
-    this.onNews();
+    this.onReport();
   }
 
   noteTrialOver(fingerprint: string, ran: boolean): void {
     this.next.trialsOver.push({fingerprint, ran});
-    this.onNews();
+    this.onReport();
   }
 
   /** What another entry tells by way of this one. */
-  relay(news: CrashNews | undefined): void {
+  forward(news: CrashReport | undefined): void {
     if (!news) return;
     this.next = joined(this.next, news);
-    if (!isEmpty(news)) this.onNews();
+    if (!isEmpty(news)) this.onReport();
   }
 
   /**
@@ -115,27 +119,27 @@
    * where there is nothing, as nearly always: four exchanges a second then carry
    * and check no empty lists.
    */
-  news(): CrashNews | undefined {
+  pendingReport(): CrashReport | undefined {
     this.unanswered = joined(this.unanswered, this.next);
     this.next = emptyNews();
     return isEmpty(this.unanswered) ? undefined : this.unanswered;
   }
 
   /** The last exchange was answered. */
-  noteAnswered(): void {
+  acknowledge(): void {
     this.unanswered = emptyNews();
   }
 
   /** Whether anything was heard or seen of crashes. */
-  get hasAny(): boolean {
+  get hasCrashData(): boolean {
     return this.told.size > 0 || this.own.size > 0;
   }
 
-  get known(): KnownSuspects | undefined {
+  get knownVersion(): SuspectListVersion | undefined {
     return this.toldKnown;
   }
 
-  adopt(told: ToldSuspects | undefined): void {
+  applyList(told: SuspectList | undefined): void {
     if (!told) return;
     const {epoch, revision, suspects} = told;
     const nowMs = this.clock.nowMs();
@@ -152,7 +156,9 @@
   }
 
   /** The holder's word for one that asks here; the list only if it is new. */
-  tell(known: KnownSuspects | undefined): ToldSuspects | undefined {
+  suspectListFor(
+    known: SuspectListVersion | undefined,
+  ): SuspectList | undefined {
     if (!this.toldKnown) return undefined;
     const {epoch, revision} = this.toldKnown;
     if (known?.epoch === epoch && known.revision === revision) {
@@ -206,7 +212,7 @@
       })),
       quarantined,
     });
-    this.onNews();
+    this.onReport();
   }
 
   private forgetOld(nowMs: number): void {
@@ -218,15 +224,15 @@
   }
 }
 
-function emptyNews(): CrashNews {
+function emptyNews(): CrashReport {
   return {crashes: [], served: [], trialsOver: [], quarantined: []};
 }
 
-function isEmpty(news: CrashNews): boolean {
+function isEmpty(news: CrashReport): boolean {
   return Object.values(news).every(list => list.length === 0);
 }
 
-function joined(one: CrashNews, other: CrashNews): CrashNews {
+function joined(one: CrashReport, other: CrashReport): CrashReport {
   const both = <T>(a: readonly T[], b: readonly T[]) =>
     [...a, ...b].slice(-MAX_NEWS);
   return {
--- a/packages/banyanfold-gateway/src/crashes/crashTrials.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashTrials.ts
@@ -49,7 +49,7 @@
   }
 
   /** Whether this life of a runner is the one at which it is tried. */
-  isTriedAt(fingerprint: string, life: string): boolean {
+  isTrialRunAt(fingerprint: string, life: string): boolean {
     const trial = this.underWay.get(fingerprint);
     // A life is named by its runner and its start.
     return trial !== undefined && life.startsWith(`${trial.runnerId}@`);
@@ -62,7 +62,7 @@
   }
 
   /** Ends those of which nothing was heard in their time. */
-  endOverdue(): string[] {
+  expireOverdue(): string[] {
     const nowMs = this.clock.nowMs();
     const overdue = [...this.underWay]
       .filter(([, {untilMs}]) => nowMs > untilMs)
--- a/packages/banyanfold-gateway/src/crashes/quarantineKeeper.ts
+++ b/packages/banyanfold-gateway/src/crashes/quarantineKeeper.ts
@@ -11,7 +11,7 @@
   lease: LeaseSource;
   suspects: CrashSuspects;
   /** Whether a holder's word was heard lately. */
-  isHolderHeard(): boolean;
+  isHolderReachable(): boolean;
 }
 
 /** One that could not be read or written is tried again so soon. */
@@ -50,7 +50,7 @@
   }
 
   /** A request was put into quarantine. */
-  note(fingerprint: string): void {
+  add(fingerprint: string): void {
     this.unsaved.set(fingerprint, this.options.clock.wallMs());
     this.sync();
   }
@@ -81,8 +81,8 @@
    * reads then what the others have found, if it knows of crashes at all.
    */
   private get isUntold(): boolean {
-    const {clock, suspects, isHolderHeard} = this.options;
-    if (isHolderHeard() || !suspects.hasAny) return false;
+    const {clock, suspects, isHolderReachable: isHolderHeard} = this.options;
+    if (isHolderHeard() || !suspects.hasCrashData) return false;
     return clock.nowMs() - this.askedMs >= UNTOLD_INTERVAL_MS;
   }
 
@@ -106,7 +106,7 @@
       const leftMs = atMs + QUARANTINE_MS - clock.wallMs();
       if (leftMs > 0) forMs.set(fingerprint, leftMs);
     }
-    suspects.noteStored(forMs);
+    suspects.noteStoredQuarantine(forMs);
     logger.info('quarantine-loaded', {requests: forMs.size});
   }
 
--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -5,14 +5,14 @@
 import {UsageKeeper} from './callers/usageKeeper.js';
 import {CrashLedger} from './crashes/crashLedger.js';
 import {CrashSuspects} from './crashes/crashSuspects.js';
-import {CrashWatch} from './crashes/crashWatch.js';
+import {CrashDetector} from './crashes/crashDetector.js';
 import {probeListener} from './crashes/probeListener.js';
 import {QuarantineKeeper} from './crashes/quarantineKeeper.js';
 import {GatewayServer} from './gatewayServer.js';
 import {DEFAULT_OPTIONS, type GatewayOptions} from './options.js';
-import {ConfigFetcher, toldConfigOf} from './peers/configFetcher.js';
+import {ConfigFetcher, encodePeerConfig} from './peers/configFetcher.js';
 import {HolderLink} from './peers/holderLink.js';
-import {askConfig, offerLease} from './peers/peerClient.js';
+import {fetchPeerConfig, offerLease} from './peers/peerClient.js';
 import type {LeaseHandover, PeerHandlers} from './peers/peerContract.js';
 import {PeerServer} from './peers/peerServer.js';
 import {DemandMeter} from './placement/demandMeter.js';
@@ -144,7 +144,7 @@
       logger,
       metrics,
       epoch: `${address}#${clock.wallMs()}`,
-      onQuarantine: fingerprint => this.quarantine.note(fingerprint),
+      onQuarantine: fingerprint => this.quarantine.add(fingerprint),
     });
     this.quarantine = new QuarantineKeeper({
       clock,
@@ -152,7 +152,7 @@
       store: parts.quarantine,
       lease,
       suspects,
-      isHolderHeard: () => this.link.isHolderHeard,
+      isHolderReachable: () => this.link.isHolderReachable,
     });
     const loadRate = new LoadRate(
       settings.bounds.loadWindowMs,
@@ -164,13 +164,13 @@
       clock,
       logger,
       version: () => this.view.current?.version ?? 0,
-      ask: peer => askConfig(peer, options.peerTimeoutMs),
-      take: record => parts.fleet.takeConfig(record),
+      fetchFrom: peer => fetchPeerConfig(peer, options.peerTimeoutMs),
+      apply: record => parts.fleet.takeConfig(record),
     });
     const onNewerConfig = (version: number, peer: string) => {
       logger.info('config-behind', {version, peer});
       parts.fleet.refreshConfig();
-      this.configs.noteNewer(version, peer);
+      this.configs.noteNewerVersion(version, peer);
     };
     this.holder = new Holder({
       clock,
@@ -203,7 +203,7 @@
       metrics,
       options,
       lease,
-      own: this.holder,
+      ownHandlers: this.holder,
       self: {
         address,
         failureDomain: settings.failureDomain,
@@ -214,7 +214,7 @@
       suspects,
       states,
       rateLimits,
-      held,
+      heldCopies: held,
       loadRate,
       configVersion: () => this.view.current?.version ?? 0,
       onNewerConfig,
@@ -222,7 +222,7 @@
       onConfigCurrent: atMs => this.view.onConfigCurrent(atMs),
       onRunnersChange: position => parts.fleet.refreshRunners(position),
       random,
-      onEntries: count => {
+      onEntryCount: count => {
         this.entries = count;
       },
     });
@@ -248,7 +248,7 @@
       states,
       gate: new PromptGate(clock),
       rateLimits,
-      crashWatch: new CrashWatch({
+      crashWatch: new CrashDetector({
         clock,
         logger,
         metrics,
@@ -401,8 +401,8 @@
     const {holder, link} = this;
     const {fleet} = this.parts;
     return {
-      config: () => fleet.configRecord && toldConfigOf(fleet.configRecord),
-      exchange: link.answer,
+      config: () => fleet.configRecord && encodePeerConfig(fleet.configRecord),
+      exchange: link.handleExchange,
       ensureAdapter: input => holder.ensureAdapter(input),
       permitTrial: input => holder.permitTrial(input),
       lastOrder: input => holder.lastOrder(input),
--- a/packages/banyanfold-gateway/src/peers/configFetcher.ts
+++ b/packages/banyanfold-gateway/src/peers/configFetcher.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 import type {Clock, Logger, Timer} from '@banyanfold/core';
 import type {ConfigRecord} from '../types.js';
-import type {ToldConfig} from './peerContract.js';
+import type {PeerConfig} from './peerContract.js';
 
 /** The store, which is asked at once, answers within some ms where it is in reach. */
 const STORE_FIRST_MS = 300;
@@ -12,8 +12,8 @@
   /** Version in force here; 0 for none. */
   version(): number;
   /** Asks a peer for its configuration; undefined without an answer. */
-  ask(address: string): Promise<ToldConfig | undefined>;
-  take(record: ConfigRecord): void;
+  fetchFrom(address: string): Promise<PeerConfig | undefined>;
+  apply(record: ConfigRecord): void;
 }
 
 /**
@@ -27,7 +27,7 @@
   constructor(private readonly options: ConfigFetcherOptions) {}
 
   /** A peer has told of a version that is newer than the one in force here. */
-  noteNewer(version: number, address: string): void {
+  noteNewerVersion(version: number, address: string): void {
     this.timer ??= this.options.clock.setTimer(STORE_FIRST_MS, () => {
       void this.fetch(version, address).finally(() => {
         this.timer = undefined;
@@ -40,7 +40,7 @@
   }
 
   private async fetch(wanted: number, address: string): Promise<void> {
-    const {logger, version, ask, take} = this.options;
+    const {logger, version, fetchFrom: ask, apply: take} = this.options;
     if (version() >= wanted) return;
     const told = await ask(address);
     // The store may have answered meanwhile.
@@ -56,7 +56,7 @@
 }
 
 /** @example toldConfigOf({version: 7, bytes}).checksum.length // 64 */
-export function toldConfigOf({version, bytes}: ConfigRecord): ToldConfig {
+export function encodePeerConfig({version, bytes}: ConfigRecord): PeerConfig {
   const checksum = checksumOf(bytes);
   return {version, checksum, bytes: bytes.toString('base64')};
 }
--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -13,14 +13,14 @@
 import type {RunnerStates} from '../runners/runnerStates.js';
 import type {GatewayOptions} from '../options.js';
 import type {LeaseSource} from '../types.js';
-import {added, Relay} from './relay.js';
-import {LeaseTurn, placeInLine} from './leaseTurn.js';
+import {sumByKey, Relay} from './relay.js';
+import {LeaseAcquisition, acquisitionRank} from './leaseAcquisition.js';
 import {PeerClients} from './peerClients.js';
-import {UnansweredDemand} from './unansweredDemand.js';
+import {PendingDemand} from './pendingDemand.js';
 import {urgentIntervalMs} from './urgentIntervalMs.js';
 import type {
-  EnsureInput,
-  EnsureOutput,
+  EnsureAdapterInput,
+  EnsureAdapterOutput,
   ExchangeInput,
   ExchangeOutput,
   HolderHandlers,
@@ -34,7 +34,7 @@
   options: GatewayOptions;
   lease: LeaseSource;
   /** This process's own holder, for when it has the lease. */
-  own: HolderHandlers;
+  ownHandlers: HolderHandlers;
   /** This process, as its peers see it. */
   self: RelayCandidate;
   demand: DemandMeter;
@@ -42,9 +42,9 @@
   suspects: CrashSuspects;
   states: RunnerStates;
   rateLimits: RunnerRateLimits;
-  held: HeldCopies;
+  heldCopies: HeldCopies;
   loadRate: LoadRate;
-  onEntries(count: number): void;
+  onEntryCount(count: number): void;
   configVersion(): number;
   /** A peer has this configuration, and this process an older one. */
   onNewerConfig(version: number, peer: string): void;
@@ -75,7 +75,7 @@
 export class HolderLink {
   private readonly relay: Relay;
   private readonly clients: PeerClients;
-  private readonly unanswered: UnansweredDemand;
+  private readonly unanswered: PendingDemand;
   private timer: Timer | undefined;
   private wasHeard = true;
   private known: KnownRevision | undefined;
@@ -84,7 +84,7 @@
   private heardMs = 0;
   /** As the holder last said, in the order in which they take the lease. */
   private standbys: readonly string[] = [];
-  private readonly turn = new LeaseTurn();
+  private readonly turn = new LeaseAcquisition();
   private entries = 1;
   /** In this failure domain, as the holder last said. */
   private relays: readonly string[] = [];
@@ -110,7 +110,7 @@
       options.adapterTimeoutMs,
     );
     const lifeId = `${self.address}#${clock.wallMs()}`;
-    this.unanswered = new UnansweredDemand(
+    this.unanswered = new PendingDemand(
       demand,
       () => usage.takeReports(),
       () => deps.rateLimits.takeReports(),
@@ -121,7 +121,7 @@
 
   start(): void {
     this.deps.demand.onWaiting = () => this.exchangeSoon();
-    this.deps.suspects.onNews = () => this.exchangeSoon();
+    this.deps.suspects.onReport = () => this.exchangeSoon();
     void this.run();
   }
 
@@ -131,8 +131,10 @@
   }
 
   /** Answers an entry: as the holder, or else with the holder's last word. */
-  readonly answer = (input: ExchangeInput): ExchangeOutput | NotHolder => {
-    const {lease, own} = this.deps;
+  readonly handleExchange = (
+    input: ExchangeInput,
+  ): ExchangeOutput | NotHolder => {
+    const {lease, ownHandlers: own} = this.deps;
     return lease.current().owns
       ? own.exchange(input)
       : this.relay.exchange(input);
@@ -152,14 +154,14 @@
   }
 
   /** Whether any word of a holder has come within a few exchanges. */
-  get isHolderHeard(): boolean {
+  get isHolderReachable(): boolean {
     const {clock} = this.deps;
     const atMs = this.lastWord?.atMs ?? Number.NEGATIVE_INFINITY;
     return clock.nowMs() - atMs < WORD_LOST_MS;
   }
 
   readonly ensureAdapter: EnsureAdapter = async wanted => {
-    const {lease, held, logger, options, clock} = this.deps;
+    const {lease, heldCopies: held, logger, options, clock} = this.deps;
     const answer = await this.askForAdapter(wanted);
     if (!answer) return false;
     if (!answer.isThere) {
@@ -190,12 +192,12 @@
   private async askForTrial(
     wanted: TrialInput,
   ): Promise<TrialOutput | undefined> {
-    const {own, lease} = this.deps;
+    const {ownHandlers: own, lease} = this.deps;
     if (lease.current().isHolder) return own.permitTrial(wanted);
     const holder = this.holderAddress();
     if (holder === undefined) return {reason: 'no-holder'};
     try {
-      return await this.clients.to(holder).permitTrial(wanted);
+      return await this.clients.clientFor(holder).permitTrial(wanted);
     } catch (thrown) {
       this.lost(holder, thrown);
       return undefined;
@@ -204,14 +206,14 @@
 
   /** Undefined when the holder gave no answer. */
   private async askForAdapter(
-    wanted: EnsureInput,
-  ): Promise<EnsureOutput | undefined> {
-    const {own, lease} = this.deps;
+    wanted: EnsureAdapterInput,
+  ): Promise<EnsureAdapterOutput | undefined> {
+    const {ownHandlers: own, lease} = this.deps;
     if (lease.current().isHolder) return own.ensureAdapter(wanted);
     const holder = this.holderAddress();
     if (holder === undefined) return {isThere: false, reason: 'no-holder'};
     try {
-      return await this.clients.to(holder).ensureAdapter(wanted);
+      return await this.clients.clientFor(holder).ensureAdapter(wanted);
     } catch (thrown) {
       this.lost(holder, thrown);
       return undefined;
@@ -231,11 +233,11 @@
   /** Looks after the lease while no holder is heard. */
   private watchLease(): void {
     const {lease, clock, self, random} = this.deps;
-    const step = this.turn.next({
+    const step = this.turn.nextAction({
       nowMs: clock.nowMs(),
-      silentMs: clock.nowMs() - this.heardMs,
+      holderSilenceMs: clock.nowMs() - this.heardMs,
       isVacant: lease.current().isVacant,
-      place: placeInLine(self.address, this.standbys, random),
+      rank: acquisitionRank(self.address, this.standbys, random),
     });
     if (step === 'join') lease.setStandby(true);
     if (step === 'ask') lease.refreshHolder();
@@ -273,24 +275,24 @@
       configVersion: configVersion(),
       runnersChange: runnersChange(),
     };
-    const load = this.relay.load(self);
+    const load = this.relay.groupLoad(self);
     return {
       ...load,
-      ...this.relay.newest(own),
+      ...this.relay.newestVersions(own),
       entry: self.address,
       members: [...load.members],
       adaptersInUse: load.adaptersInUse as ExchangeInput['adaptersInUse'],
       modelsInUse: load.modelsInUse as ExchangeInput['modelsInUse'],
       known: this.known,
-      batch: this.unanswered.next(),
+      batch: this.unanswered.nextBatch(),
       rateLimits: this.deps.rateLimits.toldLimits(),
-      crashes: this.deps.suspects.news(),
-      knownSuspects: this.deps.suspects.known,
+      crashes: this.deps.suspects.pendingReport(),
+      knownSuspects: this.deps.suspects.knownVersion,
     };
   }
 
   private async exchange(): Promise<void> {
-    const {own, lease, self} = this.deps;
+    const {ownHandlers: own, lease, self} = this.deps;
     if (lease.current().owns) {
       this.adopt(own.exchange(this.input()), self.address);
       return;
@@ -302,7 +304,9 @@
       return;
     }
     try {
-      const output = await this.clients.to(address).exchange(this.input());
+      const output = await this.clients
+        .clientFor(address)
+        .exchange(this.input());
       this.adopt(output, address);
     } catch (thrown) {
       this.clients.drop(address);
@@ -336,14 +340,14 @@
       }
       return;
     }
-    this.unanswered.noteAnswered();
-    this.deps.suspects.noteAnswered();
-    this.deps.suspects.adopt(output.suspects);
+    this.unanswered.acknowledge();
+    this.deps.suspects.acknowledge();
+    this.deps.suspects.applyList(output.suspects);
     if (!this.wasHeard) this.deps.logger.info('holder-heard');
     this.wasHeard = true;
     const isPassedOn = output.holder !== teller;
     if (isPassedOn) lease.noteHolder(output.holder);
-    else if (teller !== self.address) this.relay.noteWord(output);
+    else if (teller !== self.address) this.relay.noteHolderState(output);
     this.deps.usage.tell(output.usage ?? {}, output.ageMs, isPassedOn);
     this.deps.rateLimits.tell(
       output.rateLimits ?? {},
@@ -357,7 +361,7 @@
   }
 
   private adoptVersions(output: ExchangeOutput, teller: string): void {
-    const {clock, held, metrics} = this.deps;
+    const {clock, heldCopies: held, metrics} = this.deps;
     const nowMs = clock.nowMs();
     const {ageMs, runnersReadAgeMs, configReadAgeMs} = output;
     const readAgeMs = Math.max(runnersReadAgeMs, configReadAgeMs ?? 0) + ageMs;
@@ -377,7 +381,14 @@
   }
 
   private adoptLoads(output: ExchangeOutput, isPassedOn: boolean): void {
-    const {lease, loadRate, clock, states, self, onEntries} = this.deps;
+    const {
+      lease,
+      loadRate,
+      clock,
+      states,
+      self,
+      onEntryCount: onEntries,
+    } = this.deps;
     // Its own word says nothing that it doesn't know.
     if (!lease.current().isHolder) {
       loadRate.learn(output.loadAgesMs, clock.nowMs());
@@ -386,10 +397,10 @@
     if (isPassedOn) {
       states.notePeersWork(peersWork, peersRequests);
     } else {
-      const group = this.relay.groupWithout(self.address);
+      const group = this.relay.groupLoadExcluding(self.address);
       states.notePeersWork(
-        added(peersWork, group.work),
-        added(peersRequests, group.requests),
+        sumByKey(peersWork, group.work),
+        sumByKey(peersRequests, group.requests),
       );
     }
     this.entries = output.entries;
--- a/packages/banyanfold-gateway/src/peers/leaseTurn.ts
+++ b/packages/banyanfold-gateway/src/peers/leaseAcquisition.ts
@@ -12,18 +12,18 @@
 const OTHER_PLACES = 4;
 
 /** What a process knows of the lease. */
-export interface LeaseSight {
+export interface LeaseObservation {
   nowMs: number;
   /** Since a holder that orders was heard. */
-  silentMs: number;
+  holderSilenceMs: number;
   /** The store last said that nobody has the lease. */
   isVacant: boolean;
   /** How many take it before this process. */
-  place: number;
+  rank: number;
 }
 
 /** Nothing, asking the store who has it, or joining the group to take it. */
-export type LeaseStep = 'none' | 'ask' | 'join';
+export type LeaseAction = 'none' | 'ask' | 'join';
 
 /**
  * When a process takes a lease that nobody has: one after the other. While the
@@ -34,10 +34,15 @@
  *
  * @example turn.next({nowMs, silentMs: 1_200, isVacant: false, place: 0}) // 'ask'
  */
-export class LeaseTurn {
+export class LeaseAcquisition {
   private vacantSinceMs: number | undefined;
 
-  next({nowMs, silentMs, isVacant, place}: LeaseSight): LeaseStep {
+  nextAction({
+    nowMs,
+    holderSilenceMs: silentMs,
+    isVacant,
+    rank: place,
+  }: LeaseObservation): LeaseAction {
     const isSilent = silentMs > SILENT_HOLDER_MS;
     const isFree = isSilent && isVacant;
     this.vacantSinceMs = isFree ? (this.vacantSinceMs ?? nowMs) : undefined;
@@ -53,7 +58,7 @@
  *
  * @example placeInLine('b:7', ['a:7', 'b:7'], Math.random) // 1
  */
-export function placeInLine(
+export function acquisitionRank(
   entry: string,
   standbys: readonly string[],
   random: () => number,
--- a/packages/banyanfold-gateway/src/peers/peerClient.ts
+++ b/packages/banyanfold-gateway/src/peers/peerClient.ts
@@ -6,14 +6,14 @@
 import type {
   ExchangeInput,
   ExchangeOutput,
-  EnsureInput,
-  EnsureOutput,
+  EnsureAdapterInput,
+  EnsureAdapterOutput,
   LastOrder,
-  LaterHolder,
+  SuccessorHolder,
   LeaseHandover,
   NotHolder,
   PeerRouter,
-  ToldConfig,
+  PeerConfig,
 } from './peerContract.js';
 
 /** A peer that this process speaks with some times a second. */
@@ -21,7 +21,7 @@
   /** @throws if no answer came in time, or the connection was lost. */
   exchange(input: ExchangeInput): Promise<ExchangeOutput | NotHolder>;
   /** @throws likewise. */
-  ensureAdapter(input: EnsureInput): Promise<EnsureOutput>;
+  ensureAdapter(input: EnsureAdapterInput): Promise<EnsureAdapterOutput>;
   /** @throws likewise. */
   permitTrial(input: TrialInput): Promise<TrialOutput>;
   close(): void;
@@ -116,9 +116,9 @@
 }
 
 /** Asks a former holder for its last order; undefined without an answer. */
-export async function askLastOrder(
+export async function fetchLastOrder(
   address: string,
-  later: LaterHolder,
+  later: SuccessorHolder,
   timeoutMs: number,
 ): Promise<LastOrder | undefined> {
   const peer = createCallClient(address, timeoutMs);
@@ -133,10 +133,10 @@
 }
 
 /** Asks a peer for its configuration; undefined without an answer. */
-export async function askConfig(
+export async function fetchPeerConfig(
   address: string,
   timeoutMs: number,
-): Promise<ToldConfig | undefined> {
+): Promise<PeerConfig | undefined> {
   const peer = createCallClient(address, timeoutMs);
   try {
     return await peer.client.config.query();
--- a/packages/banyanfold-gateway/src/peers/peerClients.ts
+++ b/packages/banyanfold-gateway/src/peers/peerClients.ts
@@ -13,7 +13,7 @@
   ) {}
 
   /** The one that was not used for longest makes way. */
-  to(address: string): PeerClient {
+  clientFor(address: string): PeerClient {
     const client =
       this.clients.get(address) ??
       createPeerClient(address, this.timeoutMs, this.adapterTimeoutMs);
--- a/packages/banyanfold-gateway/src/peers/peerContract.ts
+++ b/packages/banyanfold-gateway/src/peers/peerContract.ts
@@ -1,16 +1,16 @@
 import {initTRPC} from '@trpc/server';
 import {z} from 'zod';
 import {
-  crashNewsSchema,
-  knownSuspectsSchema,
-  toldSuspectsSchema,
+  crashReportSchema,
+  suspectListVersionSchema,
+  suspectListSchema,
   trialInputSchema,
   type TrialInput,
   type TrialOutput,
 } from '../crashes/crashContract.js';
 
 /** What one runner holds. */
-const toldRunnerSchema = z.object({
+const runnerCopiesSchema = z.object({
   runnerId: z.string(),
   models: z.array(z.string()),
   /** As model and name, joined by a slash. */
@@ -19,7 +19,7 @@
   isBusy: z.boolean(),
 });
 
-export type ToldRunner = z.infer<typeof toldRunnerSchema>;
+export type RunnerCopies = z.infer<typeof runnerCopiesSchema>;
 
 const countsSchema = z.record(z.string(), z.number());
 
@@ -98,7 +98,7 @@
   waiting: countsSchema,
   batch: demandBatchSchema,
   /** Left out by a process of a version that doesn't tell of them. */
-  crashes: crashNewsSchema.optional(),
+  crashes: crashReportSchema.optional(),
   /** Limits that runners have named, or have ceased to name; left out likewise. */
   rateLimits: z
     .array(
@@ -110,7 +110,7 @@
     )
     .optional(),
   /** Up to where it has heard of the suspects. */
-  knownSuspects: knownSuspectsSchema.optional(),
+  knownSuspects: suspectListVersionSchema.optional(),
 });
 
 /** What the holder, or a relay, tells back. */
@@ -146,7 +146,7 @@
     epoch: z.string(),
     revision: z.number(),
     isWhole: z.boolean(),
-    runners: z.array(toldRunnerSchema),
+    runners: z.array(runnerCopiesSchema),
     gone: z.array(z.string()),
   }),
   /** Until a copy serves, for models lately asked for that nobody holds. */
@@ -181,27 +181,27 @@
     )
     .optional(),
   /** Requests that may crash runners; left out as in what entries tell. */
-  suspects: toldSuspectsSchema.optional(),
+  suspects: suspectListSchema.optional(),
 });
 
-export const ensureInputSchema = z.object({
+export const ensureAdapterInputSchema = z.object({
   runnerId: z.string(),
   model: z.string(),
   adapter: z.string(),
 });
 
-export const ensureOutputSchema = z.object({
+export const ensureAdapterOutputSchema = z.object({
   isThere: z.boolean(),
   reason: z.string(),
 });
 
 /** A holder that asks the one before it. */
-export const laterHolderSchema = z.object({
+export const successorHolderSchema = z.object({
   generation: z.number(),
   address: z.string(),
 });
 
-export type LaterHolder = z.infer<typeof laterHolderSchema>;
+export type SuccessorHolder = z.infer<typeof successorHolderSchema>;
 
 /** What a former holder answers to the one after it. */
 export const lastOrderOutputSchema = z.object({
@@ -231,11 +231,11 @@
   holderAddress?: string;
 }
 
-export type EnsureInput = z.infer<typeof ensureInputSchema>;
-export type EnsureOutput = z.infer<typeof ensureOutputSchema>;
+export type EnsureAdapterInput = z.infer<typeof ensureAdapterInputSchema>;
+export type EnsureAdapterOutput = z.infer<typeof ensureAdapterOutputSchema>;
 
 /** A configuration, for a peer that can't read it from the store. */
-export const toldConfigSchema = z.object({
+export const peerConfigSchema = z.object({
   version: z.number(),
   /** SHA-256 of the bytes, in hexadecimal. */
   checksum: z.string(),
@@ -243,20 +243,20 @@
   bytes: z.string(),
 });
 
-export type ToldConfig = z.infer<typeof toldConfigSchema>;
+export type PeerConfig = z.infer<typeof peerConfigSchema>;
 
 /** What each entry answers to its peers. */
 export interface PeerHandlers extends HolderHandlers {
   /** Undefined before it has one. */
-  config(): ToldConfig | undefined;
+  config(): PeerConfig | undefined;
 }
 
 /** What the holder of orders answers to the entries. */
 export interface HolderHandlers {
   exchange(input: ExchangeInput): ExchangeOutput | NotHolder;
-  ensureAdapter(input: EnsureInput): Promise<EnsureOutput>;
+  ensureAdapter(input: EnsureAdapterInput): Promise<EnsureAdapterOutput>;
   permitTrial(input: TrialInput): TrialOutput;
-  lastOrder(input: LaterHolder): LastOrder;
+  lastOrder(input: SuccessorHolder): LastOrder;
   takeOver(handover: LeaseHandover): boolean;
 }
 
@@ -268,7 +268,7 @@
       .input(exchangeInputSchema)
       .mutation(({input}) => handlers.exchange(input)),
     ensureAdapter: trpc.procedure
-      .input(ensureInputSchema)
+      .input(ensureAdapterInputSchema)
       .mutation(({input}) => handlers.ensureAdapter(input)),
     permitTrial: trpc.procedure
       .input(trialInputSchema)
@@ -277,10 +277,10 @@
       .input(leaseHandoverSchema)
       .mutation(({input}) => handlers.takeOver(input)),
     config: trpc.procedure
-      .output(toldConfigSchema.optional())
+      .output(peerConfigSchema.optional())
       .query(() => handlers.config()),
     lastOrder: trpc.procedure
-      .input(laterHolderSchema)
+      .input(successorHolderSchema)
       .query(({input}) => handlers.lastOrder(input)),
   });
 }
--- a/packages/banyanfold-gateway/src/peers/unansweredDemand.ts
+++ b/packages/banyanfold-gateway/src/peers/pendingDemand.ts
@@ -10,7 +10,7 @@
  * planned for the demand that its busiest moments left over, and copies came
  * for models that were asked for when it had time to listen.
  */
-export class UnansweredDemand {
+export class PendingDemand {
   private batch: DemandBatch | undefined;
   private batches = 0;
 
@@ -24,7 +24,7 @@
   ) {}
 
   /** The batch that was not answered yet, or a new one. */
-  next(): DemandBatch {
+  nextBatch(): DemandBatch {
     this.batches += this.batch ? 0 : 1;
     this.batch ??= {
       batchId: `${this.lifeId}#${this.batches}`,
@@ -36,7 +36,7 @@
     return this.batch;
   }
 
-  noteAnswered(): void {
+  acknowledge(): void {
     this.batch = undefined;
   }
 }
--- a/packages/banyanfold-gateway/src/peers/relay.ts
+++ b/packages/banyanfold-gateway/src/peers/relay.ts
@@ -13,7 +13,7 @@
   ExchangeInput,
   ExchangeOutput,
   NotHolder,
-  ToldRunner,
+  RunnerCopies,
 } from './peerContract.js';
 
 export interface RelayOptions {
@@ -59,7 +59,7 @@
   private readonly loads = new EntryLoads(MEMBER_LOST_MS);
   private readonly batches = new SeenBatches();
   private readonly revisions: CopyRevisions;
-  private readonly runners = new Map<string, ToldRunner>();
+  private readonly runners = new Map<string, RunnerCopies>();
   private heard: HeardWord | undefined;
   private newestConfig = 0;
   private newestRunnersChange = 0;
@@ -74,7 +74,7 @@
    * kept. Its own word of when it was the holder itself must not be either: it
    * told all others to leave the group of the lease, which another had by then.
    */
-  noteWord(word: ExchangeOutput): void {
+  noteHolderState(word: ExchangeOutput): void {
     const {isWhole, runners, gone} = word.copies;
     if (isWhole) this.runners.clear();
     for (const runner of runners) this.runners.set(runner.runnerId, runner);
@@ -84,7 +84,7 @@
   }
 
   /** What this process tells the holder: its own, with that of its group. */
-  load(own: RelayCandidate): EntryLoad {
+  groupLoad(own: RelayCandidate): EntryLoad {
     const {clock, address, ownLoad} = this.options;
     const nowMs = clock.nowMs();
     this.loads.note(address, ownLoad(), nowMs);
@@ -94,7 +94,7 @@
   }
 
   /** The highest version and position that this process and its group know. */
-  newest(own: {configVersion: number; runnersChange: number}) {
+  newestVersions(own: {configVersion: number; runnersChange: number}) {
     return {
       configVersion: Math.max(own.configVersion, this.newestConfig),
       runnersChange: Math.max(own.runnersChange, this.newestRunnersChange),
@@ -102,7 +102,7 @@
   }
 
   /** Open work and requests of the group, without an entry's own. */
-  groupWithout(entry: string) {
+  groupLoadExcluding(entry: string) {
     const nowMs = this.options.clock.nowMs();
     return {
       work: this.loads.workWithout(entry, nowMs),
@@ -135,7 +135,7 @@
     this.loads.note(address, ownLoad(), nowMs);
     if (this.batches.isNew(entry, batch.batchId)) this.addBatch(batch);
     this.noteRateLimits(input);
-    suspects.relay(input.crashes);
+    suspects.forward(input.crashes);
     if (Object.keys(input.waiting).length > 0) this.options.demand.onWaiting();
     if (configVersion > this.options.configVersion()) {
       this.options.onNewerConfig(configVersion, entry);
@@ -146,22 +146,22 @@
       runnersChange,
     );
     const {word, atMs} = heard;
-    const group = this.groupWithout(entry);
+    const group = this.groupLoadExcluding(entry);
     return {
       ...word,
       ageMs: word.ageMs + nowMs - atMs,
       configVersion: Math.max(word.configVersion, this.newestConfig),
       runnersChange: Math.max(word.runnersChange, this.newestRunnersChange),
       copies: this.revisions.since(input.known),
-      peersWork: added(word.peersWork, group.work),
-      peersRequests: added(word.peersRequests, group.requests),
-      suspects: suspects.tell(input.knownSuspects),
+      peersWork: sumByKey(word.peersWork, group.work),
+      peersRequests: sumByKey(word.peersRequests, group.requests),
+      suspects: suspects.suspectListFor(input.knownSuspects),
     };
   }
 }
 
 /** @example added({a: 1}, {a: 2, b: 3}) // {a: 3, b: 3} */
-export function added(
+export function sumByKey(
   one: Readonly<Record<string, number>>,
   other: Readonly<Record<string, number>>,
 ): Record<string, number> {
--- a/packages/banyanfold-gateway/src/placement/copyRevisions.ts
+++ b/packages/banyanfold-gateway/src/placement/copyRevisions.ts
@@ -1,4 +1,4 @@
-import type {ToldRunner} from '../peers/peerContract.js';
+import type {RunnerCopies} from '../peers/peerContract.js';
 
 /** Up to where an entry has heard the changes of one holder. */
 export interface KnownRevision {
@@ -10,7 +10,7 @@
 export interface ToldChanges extends KnownRevision {
   /** All runners are told, those left out are gone. */
   isWhole: boolean;
-  runners: ToldRunner[];
+  runners: RunnerCopies[];
   gone: string[];
 }
 
@@ -18,7 +18,7 @@
   revision: number;
   text: string;
   /** Undefined for a runner that is gone. */
-  runner?: ToldRunner;
+  runner?: RunnerCopies;
 }
 
 /** So many changes back an entry is told what it missed, else all. */
@@ -41,7 +41,7 @@
   constructor(private readonly epoch: string) {}
 
   /** Takes in what all runners hold now. */
-  update(runners: readonly ToldRunner[]): void {
+  update(runners: readonly RunnerCopies[]): void {
     const present = new Set(runners.map(({runnerId}) => runnerId));
     for (const runner of runners) {
       const text = JSON.stringify(runner);
@@ -63,7 +63,7 @@
       known.revision < this.oldestKept ||
       known.revision > revision;
     const from = isWhole ? 0 : known.revision;
-    const runners: ToldRunner[] = [];
+    const runners: RunnerCopies[] = [];
     const gone: string[] = [];
     for (const [runnerId, recorded] of this.byRunner) {
       if (recorded.revision <= from) continue;
@@ -77,7 +77,7 @@
     return this.revision - KEPT_REVISIONS;
   }
 
-  private record(runnerId: string, text: string, runner?: ToldRunner): void {
+  private record(runnerId: string, text: string, runner?: RunnerCopies): void {
     this.revision += 1;
     this.byRunner.set(runnerId, {revision: this.revision, text, runner});
   }
--- a/packages/banyanfold-gateway/src/placement/holder.ts
+++ b/packages/banyanfold-gateway/src/placement/holder.ts
@@ -14,13 +14,13 @@
 import type {CrashLedger} from '../crashes/crashLedger.js';
 import type {GatewayOptions} from '../options.js';
 import type {
-  EnsureInput,
-  EnsureOutput,
+  EnsureAdapterInput,
+  EnsureAdapterOutput,
   ExchangeInput,
   ExchangeOutput,
   NotHolder,
   HolderHandlers,
-  ToldRunner,
+  RunnerCopies,
 } from '../peers/peerContract.js';
 import type {
   EngineSpec,
@@ -31,7 +31,7 @@
 } from '../types.js';
 import type {
   LastOrder,
-  LaterHolder,
+  SuccessorHolder,
   LeaseHandover,
 } from '../peers/peerContract.js';
 import type {FleetView, ViewChange} from '../view/fleetView.js';
@@ -186,7 +186,7 @@
       ejectedForMs: this.outcomes.tell(),
       usage: this.fleetUsage.tell(nowMs),
       rateLimits: this.rateLimits.tell(),
-      suspects: this.deps.crashes.tell(input.knownSuspects),
+      suspects: this.deps.crashes.suspectListFor(input.knownSuspects),
     };
   }
 
@@ -226,7 +226,7 @@
     const {entry, batch, waiting, crashes, rateLimits = []} = input;
     this.loads.note(entry, input, nowMs);
     this.rateLimits.noteLimits(rateLimits);
-    if (crashes) this.deps.crashes.note(crashes);
+    if (crashes) this.deps.crashes.addReport(crashes);
     if (this.batches.isNew(entry, batch.batchId)) {
       this.demand.note(batch.demand, nowMs);
       this.noteAdapterUse(batch.demand);
@@ -304,7 +304,7 @@
     return left;
   }
 
-  private toldRunners(): ToldRunner[] {
+  private toldRunners(): RunnerCopies[] {
     return [...this.controllers.values()]
       .filter(controller => controller.isKnown)
       .map(controller => ({
@@ -315,7 +315,7 @@
       }));
   }
 
-  async ensureAdapter(input: EnsureInput): Promise<EnsureOutput> {
+  async ensureAdapter(input: EnsureAdapterInput): Promise<EnsureAdapterOutput> {
     const {lease, view} = this.deps;
     if (!lease.current().isHolder) {
       return {isThere: false, reason: 'not-holder'};
@@ -351,7 +351,7 @@
     return heard.map(({address}) => address);
   }
 
-  lastOrder(later: LaterHolder): LastOrder {
+  lastOrder(later: SuccessorHolder): LastOrder {
     const {clock, isLeaving, lease} = this.deps;
     const isOutOfTouch = lease.yieldTo(later.generation, later.address);
     let latestMs: number | undefined;
--- a/packages/banyanfold-gateway/src/requests/requestRun.ts
+++ b/packages/banyanfold-gateway/src/requests/requestRun.ts
@@ -449,7 +449,7 @@
     this.turn?.giveBack();
     context.states.noteEnd(runner.runnerId, this.started, wasRead);
     if (result.kind === 'broken' && result.isCutOff) {
-      context.crashWatch.noteCutOff(runner, this.fingerprint);
+      context.crashWatch.noteConnectionLost(runner, this.fingerprint);
     }
     if (result.kind === 'delivered' || result.kind === 'rejected') {
       if (result.canReuse) {
--- a/packages/banyanfold-protocol/src/__tests__/askMisses.test.ts
+++ b/packages/banyanfold-protocol/src/__tests__/fetchMisses.test.ts
@@ -3,7 +3,7 @@
 import {initTRPC} from '@trpc/server';
 import {afterEach, describe, expect, it} from 'vitest';
 import {
-  askMisses,
+  fetchMisses,
   createControlHandler,
   createEntryClient,
   type EntryRouter,
@@ -34,16 +34,16 @@
   return createEntryClient({host: '127.0.0.1', port, internalKey: 'key'});
 }
 
-describe('askMisses', () => {
+describe('fetchMisses', () => {
   // Entries are replaced one by one. A peer of the earlier release answers the
   // planner's new question with an error; its misses must be heard all the same.
   it('asks an entry of an earlier release for its status', async () => {
     const client = await serve(t.router({status}));
-    expect(await askMisses(client)).toEqual(MISSED);
+    expect(await fetchMisses(client)).toEqual(MISSED);
   });
 
   it('does not ask an entry in trouble for more', async () => {
     const client = await serve(t.router({status, misses: failing}));
-    await expect(askMisses(client)).rejects.toThrow('out of order');
+    await expect(fetchMisses(client)).rejects.toThrow('out of order');
   });
 });
--- a/packages/banyanfold-protocol/src/__tests__/reportChanges.test.ts
+++ b/packages/banyanfold-protocol/src/__tests__/reportChanges.test.ts
@@ -3,8 +3,8 @@
 import {initTRPC} from '@trpc/server';
 import {afterEach, describe, expect, it} from 'vitest';
 import {
-  askReport,
-  completeReport,
+  fetchReport,
+  applyReportChanges,
   createAgentClient,
   createAgentRouter,
   createControlHandler,
@@ -38,7 +38,7 @@
   };
 }
 
-describe('completeReport', () => {
+describe('applyReportChanges', () => {
   const held = reportOf(4);
   const history = new ReportHistory();
   history.observe(held);
@@ -48,7 +48,7 @@
   }) as ReportChanges;
 
   it('makes changes whole with the report held', () => {
-    expect(completeReport(held, changes)).toEqual(reportOf(5));
+    expect(applyReportChanges(held, changes)).toEqual(reportOf(5));
   });
 
   // Each of them would leave a copy list in the view that was never true.
@@ -59,7 +59,7 @@
     ['they were made before', held, {sequence: 4}],
     ['the number of copies differs', held, {copyIdleMs: []}],
   ])('drops changes if %s', (_name, known, change) => {
-    expect(completeReport(known, {...changes, ...change})).toBeUndefined();
+    expect(applyReportChanges(known, {...changes, ...change})).toBeUndefined();
   });
 });
 
@@ -73,7 +73,7 @@
   });
 });
 
-describe('askReport', () => {
+describe('fetchReport', () => {
   let server: http.Server;
 
   afterEach(() => {
@@ -109,9 +109,9 @@
         drain: unused,
       }),
     );
-    expect(await askReport(client, undefined)).toEqual(reportOf(1));
+    expect(await fetchReport(client, undefined)).toEqual(reportOf(1));
     const held = {incarnation: 3, sequence: 1};
-    const changes = await askReport(client, held);
+    const changes = await fetchReport(client, held);
     expect(changes).toMatchObject({sequence: 2, sinceSequence: 1});
     expect(changes).not.toHaveProperty('copies');
     expect(await client.report.query()).toEqual(reportOf(3));
@@ -125,6 +125,6 @@
       t.router({report: t.procedure.query(() => reportOf(9))}),
     );
     const held = {incarnation: 3, sequence: 1};
-    expect(await askReport(client, held)).toEqual(reportOf(9));
+    expect(await fetchReport(client, held)).toEqual(reportOf(9));
   });
 });
--- a/packages/banyanfold-protocol/src/clients.ts
+++ b/packages/banyanfold-protocol/src/clients.ts
@@ -58,9 +58,9 @@
  * none is held. An agent of an earlier release doesn't know the question and
  * is asked for the whole report, so that a release can go out in any order.
  *
- * @example const answer = await askReport(client, agent.reportCursor())
+ * @example const answer = await fetchReport(client, agent.reportCursor())
  */
-export async function askReport(
+export async function fetchReport(
   client: AgentClient,
   held: ReportCursor | undefined,
 ): Promise<AgentReport | ReportChanges> {
--- a/packages/banyanfold-protocol/src/askMisses.ts
+++ b/packages/banyanfold-protocol/src/fetchMisses.ts
@@ -6,9 +6,9 @@
  * question, and is asked for its status: else the planner would not hear, until
  * all entries are replaced, of what only callers of that one ask for.
  *
- * @example meter.noteMisses(vmId, await askMisses(client))
+ * @example meter.noteMisses(vmId, await fetchMisses(client))
  */
-export async function askMisses(client: EntryClient): Promise<MissedCount> {
+export async function fetchMisses(client: EntryClient): Promise<MissedCount> {
   try {
     return await client.misses.query();
   } catch (error) {
--- a/packages/banyanfold-protocol/src/index.ts
+++ b/packages/banyanfold-protocol/src/index.ts
@@ -1,5 +1,5 @@
 export * from './agentContract.js';
-export * from './askMisses.js';
+export * from './fetchMisses.js';
 export * from './clients.js';
 export * from './controlServer.js';
 export * from './entryContract.js';
--- a/packages/banyanfold-protocol/src/reportChanges.ts
+++ b/packages/banyanfold-protocol/src/reportChanges.ts
@@ -136,7 +136,7 @@
  * they are those of the held one as well. Whatever doesn't fit is dropped, and
  * the next question names what is really held, so the next answer mends it.
  */
-export function completeReport(
+export function applyReportChanges(
   held: AgentReport | undefined,
   answer: AgentReport | ReportChanges,
 ): AgentReport | undefined {
