--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -33,9 +33,9 @@
   metrics: Metrics;
   options: GatewayOptions;
   lease: LeaseSource;
-  /** This process's own holder, for when it has the lease. */
+  /** Handlers of this process, used while it holds the lease itself. */
   ownHandlers: HolderHandlers;
-  /** This process, as its peers see it. */
+  /** The properties of this process by which relays are chosen. */
   self: RelayCandidate;
   demand: DemandMeter;
   usage: UsageAccounts;
@@ -46,47 +46,51 @@
   loadRate: LoadRate;
   onEntryCount(count: number): void;
   configVersion(): number;
-  /** A peer has this configuration, and this process an older one. */
+  /** Called when a peer has a newer configuration than this process. */
   onNewerConfig(version: number, peer: string): void;
-  /** The configuration in force here was the newest one at that time, in ms. */
+  /** Called with a time at which the configuration here was current. */
   onConfigCurrent(atMs: number): void;
   runnersChange(): number;
-  /** A peer has read the runners up to this change. */
+  /** Called when a peer has read the runners up to this change. */
   onRunnersChange(runnersChange: number): void;
   random(): number;
 }
 
-/** Three exchanges; after that this process reads for itself again. */
-const RELAY_FRESH_MS = 800;
+/** Three exchanges; with older state this process reads the store itself. */
+const MAX_STATE_AGE_MS = 800;
 /**
- * The holder reads the runners once a second; its word is an exchange older at a
- * relay. A runner that leaves must get nothing more after two seconds.
+ * Maximum time since the holder read the store. The holder reads the runners
+ * once a second, and a relay adds the time of one exchange. A leaving runner
+ * must receive no more requests after two seconds.
  */
-const RELAY_READ_AGE_MS = 1_700;
-/** Six exchanges; a lease that changes hands takes less, as a rule. */
-const WORD_LOST_MS = 1_500;
+const MAX_READ_AGE_MS = 1_700;
+/** Six exchanges. A change of holder usually takes less. */
+const HOLDER_TIMEOUT_MS = 1_500;
 /**
- * A relay that gave no word is left alone for so long; the holder hears no more
- * of one that is gone for two seconds, and names another.
+ * Pause before a failed relay is used again. Within two seconds the holder
+ * notices that a relay has gone, and names another one.
  */
-const RELAY_PAUSE_MS = 3_000;
+const RELAY_RETRY_MS = 3_000;
 
-/** How an entry speaks to the holder of orders, itself, directly or by a relay. */
+/**
+ * Exchanges state between an entry and the holder of the lease: in process if
+ * this entry is the holder, else directly or through a relay.
+ */
 export class HolderLink {
   private readonly relay: Relay;
   private readonly clients: PeerClients;
-  private readonly unanswered: PendingDemand;
+  private readonly pendingDemand: PendingDemand;
   private timer: Timer | undefined;
-  private wasHeard = true;
-  private known: KnownRevision | undefined;
-  private lastWord: {atMs: number; readAgeMs: number} | undefined;
-  private lastMs = 0;
-  private heardMs = 0;
-  /** As the holder last said, in the order in which they take the lease. */
+  private wasHolderReachable = true;
+  private knownCopies: KnownRevision | undefined;
+  private lastState: {atMs: number; readAgeMs: number} | undefined;
+  private lastExchangeMs = 0;
+  private lastContactMs = 0;
+  /** Last list from the holder, in the order of acquiring the lease. */
   private standbys: readonly string[] = [];
-  private readonly turn = new LeaseAcquisition();
+  private readonly leaseAcquisition = new LeaseAcquisition();
   private entries = 1;
-  /** In this failure domain, as the holder last said. */
+  /** Last list from the holder, for this failure domain. */
   private relays: readonly string[] = [];
   private relayPausedUntilMs = Number.NEGATIVE_INFINITY;
 
@@ -109,20 +113,20 @@
       options.peerTimeoutMs,
       options.adapterTimeoutMs,
     );
-    const lifeId = `${self.address}#${clock.wallMs()}`;
-    this.unanswered = new PendingDemand(
+    const processId = `${self.address}#${clock.wallMs()}`;
+    this.pendingDemand = new PendingDemand(
       demand,
       () => usage.takeReports(),
       () => deps.rateLimits.takeReports(),
       deps.states.outcomes,
-      lifeId,
+      processId,
     );
   }
 
   start(): void {
-    this.deps.demand.onWaiting = () => this.exchangeSoon();
-    this.deps.suspects.onReport = () => this.exchangeSoon();
-    void this.run();
+    this.deps.demand.onWaiting = () => this.expediteExchange();
+    this.deps.suspects.onReport = () => this.expediteExchange();
+    void this.runExchange();
   }
 
   stop(): void {
@@ -130,132 +134,135 @@
     this.clients.close();
   }
 
-  /** Answers an entry: as the holder, or else with the holder's last word. */
+  /** Handles a peer's exchange, as the holder or else as a relay. */
   readonly handleExchange = (
     input: ExchangeInput,
   ): ExchangeOutput | NotHolder => {
-    const {lease, ownHandlers: own} = this.deps;
+    const {lease, ownHandlers} = this.deps;
     return lease.current().owns
-      ? own.exchange(input)
+      ? ownHandlers.exchange(input)
       : this.relay.exchange(input);
   };
 
   /**
-   * Another holder tells of changes and has read the store lately. One that is
-   * cut off from the store, or silent, would leave this process with runners
-   * that have left; it then reads for itself.
+   * Whether another process, as the holder, reports changes and has read the
+   * store recently. If the holder is silent or can't reach the store, this
+   * process reads the store itself, or it would keep runners that have left.
    */
   get isRelayed(): boolean {
     const {lease, clock} = this.deps;
-    if (lease.current().isHolder || !this.lastWord) return false;
-    const ageMs = clock.nowMs() - this.lastWord.atMs;
-    const readAgeMs = this.lastWord.readAgeMs + ageMs;
-    return ageMs < RELAY_FRESH_MS && readAgeMs < RELAY_READ_AGE_MS;
+    if (lease.current().isHolder || !this.lastState) return false;
+    const ageMs = clock.nowMs() - this.lastState.atMs;
+    const readAgeMs = this.lastState.readAgeMs + ageMs;
+    return ageMs < MAX_STATE_AGE_MS && readAgeMs < MAX_READ_AGE_MS;
   }
 
-  /** Whether any word of a holder has come within a few exchanges. */
+  /** Whether state from a holder arrived within the last few exchanges. */
   get isHolderReachable(): boolean {
     const {clock} = this.deps;
-    const atMs = this.lastWord?.atMs ?? Number.NEGATIVE_INFINITY;
-    return clock.nowMs() - atMs < WORD_LOST_MS;
+    const atMs = this.lastState?.atMs ?? Number.NEGATIVE_INFINITY;
+    return clock.nowMs() - atMs < HOLDER_TIMEOUT_MS;
   }
 
-  readonly ensureAdapter: EnsureAdapter = async wanted => {
-    const {lease, heldCopies: held, logger, options, clock} = this.deps;
-    const answer = await this.askForAdapter(wanted);
+  readonly ensureAdapter: EnsureAdapter = async request => {
+    const {lease, heldCopies, logger, options, clock} = this.deps;
+    const answer = await this.requestAdapter(request);
     if (!answer) return false;
     if (!answer.isThere) {
-      logger.info('adapter-not-there', {...wanted, reason: answer.reason});
+      logger.info('adapter-unavailable', {...request, reason: answer.reason});
       if (answer.reason === 'not-holder') lease.refreshHolder();
       return false;
     }
-    held.noteAdapter(wanted.runnerId, wanted.model, wanted.adapter);
+    heldCopies.noteAdapter(request.runnerId, request.model, request.adapter);
     await new Promise<void>(resolve => {
       clock.setTimer(options.adapterSettleMs, resolve);
     });
     return true;
   };
 
-  /** Undefined while a suspect has to wait, also for want of a holder. */
-  readonly permitTrial: PermitTrial = async wanted => {
+  /** Undefined while a suspect has to wait, also because there is no holder. */
+  readonly permitTrial: PermitTrial = async request => {
     const {lease, logger} = this.deps;
-    const answer = await this.askForTrial(wanted);
+    const answer = await this.requestTrial(request);
     if (!answer) return undefined;
     const {runnerId, reason} = answer;
     if (runnerId !== undefined) return runnerId;
-    logger.info('trial-waits', {fingerprint: wanted.fingerprint, reason});
+    logger.info('trial-waits', {fingerprint: request.fingerprint, reason});
     if (reason === 'not-holder') lease.refreshHolder();
     return undefined;
   };
 
-  /** Undefined when the holder gave no answer. */
-  private async askForTrial(
-    wanted: TrialInput,
+  /** Undefined if the holder doesn't answer. */
+  private async requestTrial(
+    request: TrialInput,
   ): Promise<TrialOutput | undefined> {
-    const {ownHandlers: own, lease} = this.deps;
-    if (lease.current().isHolder) return own.permitTrial(wanted);
+    const {ownHandlers, lease} = this.deps;
+    if (lease.current().isHolder) return ownHandlers.permitTrial(request);
     const holder = this.holderAddress();
     if (holder === undefined) return {reason: 'no-holder'};
     try {
-      return await this.clients.clientFor(holder).permitTrial(wanted);
+      return await this.clients.clientFor(holder).permitTrial(request);
     } catch (thrown) {
-      this.lost(holder, thrown);
+      this.handleHolderFailure(holder, thrown);
       return undefined;
     }
   }
 
-  /** Undefined when the holder gave no answer. */
-  private async askForAdapter(
-    wanted: EnsureAdapterInput,
+  /** Undefined if the holder doesn't answer. */
+  private async requestAdapter(
+    request: EnsureAdapterInput,
   ): Promise<EnsureAdapterOutput | undefined> {
-    const {ownHandlers: own, lease} = this.deps;
-    if (lease.current().isHolder) return own.ensureAdapter(wanted);
+    const {ownHandlers, lease} = this.deps;
+    if (lease.current().isHolder) return ownHandlers.ensureAdapter(request);
     const holder = this.holderAddress();
     if (holder === undefined) return {isThere: false, reason: 'no-holder'};
     try {
-      return await this.clients.clientFor(holder).ensureAdapter(wanted);
+      return await this.clients.clientFor(holder).ensureAdapter(request);
     } catch (thrown) {
-      this.lost(holder, thrown);
+      this.handleHolderFailure(holder, thrown);
       return undefined;
     }
   }
 
-  private async run(): Promise<void> {
+  private async runExchange(): Promise<void> {
     const {clock, options} = this.deps;
     this.timer?.cancel();
     this.timer = undefined;
-    this.lastMs = clock.nowMs();
+    this.lastExchangeMs = clock.nowMs();
     await this.exchange();
-    this.watchLease();
+    this.checkLease();
     this.schedule(options.exchangeIntervalMs);
   }
 
-  /** Looks after the lease while no holder is heard. */
-  private watchLease(): void {
+  /** While no holder responds, queries the lease or tries to acquire it. */
+  private checkLease(): void {
     const {lease, clock, self, random} = this.deps;
-    const step = this.turn.nextAction({
+    const action = this.leaseAcquisition.nextAction({
       nowMs: clock.nowMs(),
-      holderSilenceMs: clock.nowMs() - this.heardMs,
+      silentMs: clock.nowMs() - this.lastContactMs,
       isVacant: lease.current().isVacant,
       rank: acquisitionRank(self.address, this.standbys, random),
     });
-    if (step === 'join') lease.setStandby(true);
-    if (step === 'ask') lease.refreshHolder();
+    if (action === 'join') lease.setStandby(true);
+    if (action === 'ask') lease.refreshHolder();
   }
 
-  /** A caller that waits for a copy need not wait for the next exchange too. */
-  private exchangeSoon(): void {
+  /** Moves the next exchange forward, for callers that wait for a copy. */
+  private expediteExchange(): void {
     const {clock, options} = this.deps;
-    // Without a timer an exchange is under way; the next one tells the rest.
+    // Without a timer an exchange is in flight; the next one sends the rest.
     if (!this.timer) return;
-    const gapMs = clock.nowMs() - this.lastMs;
-    const soonMs = urgentIntervalMs(this.entries, options);
-    this.schedule(Math.max(0, soonMs - gapMs));
+    const elapsedMs = clock.nowMs() - this.lastExchangeMs;
+    const urgentMs = urgentIntervalMs(this.entries, options);
+    this.schedule(Math.max(0, urgentMs - elapsedMs));
   }
 
   private schedule(delayMs: number): void {
     this.timer?.cancel();
-    this.timer = this.deps.clock.setTimer(delayMs, () => void this.run());
+    this.timer = this.deps.clock.setTimer(
+      delayMs,
+      () => void this.runExchange(),
+    );
   }
 
   private ownLoad(): EntryLoad {
@@ -269,22 +276,22 @@
     };
   }
 
-  private input(): ExchangeInput {
+  private exchangeInput(): ExchangeInput {
     const {self, configVersion, runnersChange} = this.deps;
-    const own = {
+    const versions = {
       configVersion: configVersion(),
       runnersChange: runnersChange(),
     };
     const load = this.relay.groupLoad(self);
     return {
       ...load,
-      ...this.relay.newestVersions(own),
+      ...this.relay.newestVersions(versions),
       entry: self.address,
       members: [...load.members],
       adaptersInUse: load.adaptersInUse as ExchangeInput['adaptersInUse'],
       modelsInUse: load.modelsInUse as ExchangeInput['modelsInUse'],
-      known: this.known,
-      batch: this.unanswered.nextBatch(),
+      known: this.knownCopies,
+      batch: this.pendingDemand.nextBatch(),
       rateLimits: this.deps.rateLimits.toldLimits(),
       crashes: this.deps.suspects.pendingReport(),
       knownSuspects: this.deps.suspects.knownVersion,
@@ -292,12 +299,15 @@
   }
 
   private async exchange(): Promise<void> {
-    const {ownHandlers: own, lease, self} = this.deps;
+    const {ownHandlers, lease, self} = this.deps;
     if (lease.current().owns) {
-      this.adopt(own.exchange(this.input()), self.address);
+      this.applyOutput(
+        ownHandlers.exchange(this.exchangeInput()),
+        self.address,
+      );
       return;
     }
-    const relay = this.relayNow();
+    const relay = this.currentRelay();
     const address = relay ?? this.holderAddress();
     if (address === undefined) {
       lease.refreshHolder();
@@ -306,95 +316,96 @@
     try {
       const output = await this.clients
         .clientFor(address)
-        .exchange(this.input());
-      this.adopt(output, address);
+        .exchange(this.exchangeInput());
+      this.applyOutput(output, address);
     } catch (thrown) {
       this.clients.drop(address);
-      if (relay === undefined) this.lost(address, thrown);
-      else this.relayLost(relay, errorText(thrown));
+      if (relay === undefined) this.handleHolderFailure(address, thrown);
+      else this.handleRelayFailure(relay, errorText(thrown));
     }
   }
 
-  /** Undefined where this process asks the holder itself. */
-  private relayNow(): string | undefined {
+  /** Undefined if this process contacts the holder directly. */
+  private currentRelay(): string | undefined {
     const {clock, self} = this.deps;
     if (clock.nowMs() < this.relayPausedUntilMs) return undefined;
     return relayOf(self.address, this.relays);
   }
 
-  /** Without a relay's word this process asks the holder itself for a while. */
-  private relayLost(relay: string, error: string): void {
+  /** Contacts the holder directly for a while after a relay has failed. */
+  private handleRelayFailure(relay: string, error: string): void {
     const {clock, logger} = this.deps;
-    this.relayPausedUntilMs = clock.nowMs() + RELAY_PAUSE_MS;
+    this.relayPausedUntilMs = clock.nowMs() + RELAY_RETRY_MS;
     logger.info('relay-lost', {relay, error});
   }
 
-  /** @param teller the process that answered, a relay or the holder itself. */
-  private adopt(output: ExchangeOutput | NotHolder, teller: string): void {
+  /**
+   * @param sender address of the process that answered, a relay or the holder.
+   */
+  private applyOutput(
+    output: ExchangeOutput | NotHolder,
+    sender: string,
+  ): void {
     const {lease, self} = this.deps;
     if (output.kind === 'not-holder') {
       lease.noteHolder(output.holderAddress);
       lease.refreshHolder();
-      if (this.relays.includes(teller)) {
-        this.relayLost(teller, 'it has no word of the holder');
+      if (this.relays.includes(sender)) {
+        this.handleRelayFailure(
+          sender,
+          'it has no recent state from the holder',
+        );
       }
       return;
     }
-    this.unanswered.acknowledge();
+    this.pendingDemand.acknowledge();
     this.deps.suspects.acknowledge();
     this.deps.suspects.applyList(output.suspects);
-    if (!this.wasHeard) this.deps.logger.info('holder-heard');
-    this.wasHeard = true;
-    const isPassedOn = output.holder !== teller;
-    if (isPassedOn) lease.noteHolder(output.holder);
-    else if (teller !== self.address) this.relay.noteHolderState(output);
-    this.deps.usage.tell(output.usage ?? {}, output.ageMs, isPassedOn);
+    if (!this.wasHolderReachable) this.deps.logger.info('holder-reachable');
+    this.wasHolderReachable = true;
+    const isForwarded = output.holder !== sender;
+    if (isForwarded) lease.noteHolder(output.holder);
+    else if (sender !== self.address) this.relay.noteHolderState(output);
+    this.deps.usage.tell(output.usage ?? {}, output.ageMs, isForwarded);
     this.deps.rateLimits.tell(
       output.rateLimits ?? {},
       output.ageMs,
-      isPassedOn,
+      isForwarded,
     );
     this.deps.states.noteEjected(output.ejectedForMs ?? {}, output.ageMs);
-    this.adoptVersions(output, teller);
-    this.adoptLoads(output, isPassedOn);
-    this.adoptRoles(output);
+    this.applyVersions(output, sender);
+    this.applyLoads(output, isForwarded);
+    this.applyRoles(output);
   }
 
-  private adoptVersions(output: ExchangeOutput, teller: string): void {
-    const {clock, heldCopies: held, metrics} = this.deps;
+  private applyVersions(output: ExchangeOutput, sender: string): void {
+    const {clock, heldCopies, metrics} = this.deps;
     const nowMs = clock.nowMs();
     const {ageMs, runnersReadAgeMs, configReadAgeMs} = output;
     const readAgeMs = Math.max(runnersReadAgeMs, configReadAgeMs ?? 0) + ageMs;
     if (output.configVersion > this.deps.configVersion()) {
-      this.deps.onNewerConfig(output.configVersion, teller);
+      this.deps.onNewerConfig(output.configVersion, sender);
     } else if (configReadAgeMs !== undefined) {
       this.deps.onConfigCurrent(nowMs - configReadAgeMs - ageMs);
     }
     this.deps.onRunnersChange(output.runnersChange);
-    this.lastWord = {atMs: nowMs, readAgeMs};
-    if (output.isOrdering) this.heardMs = nowMs;
+    this.lastState = {atMs: nowMs, readAgeMs};
+    if (output.isOrdering) this.lastContactMs = nowMs;
     metrics.observeMs('holder_word_age_ms', ageMs);
-    held.tell(output.copies, ageMs);
-    held.tellCopiesInMs(output.copiesInMs);
+    heldCopies.tell(output.copies, ageMs);
+    heldCopies.tellCopiesInMs(output.copiesInMs);
     const {epoch, revision} = output.copies;
-    this.known = {epoch, revision};
+    this.knownCopies = {epoch, revision};
   }
 
-  private adoptLoads(output: ExchangeOutput, isPassedOn: boolean): void {
-    const {
-      lease,
-      loadRate,
-      clock,
-      states,
-      self,
-      onEntryCount: onEntries,
-    } = this.deps;
-    // Its own word says nothing that it doesn't know.
+  private applyLoads(output: ExchangeOutput, isForwarded: boolean): void {
+    const {lease, loadRate, clock, states, self, onEntryCount} = this.deps;
+    // The holder already knows its own loads.
     if (!lease.current().isHolder) {
       loadRate.learn(output.loadAgesMs, clock.nowMs());
     }
     const {peersWork, peersRequests} = output;
-    if (isPassedOn) {
+    if (isForwarded) {
       states.notePeersWork(peersWork, peersRequests);
     } else {
       const group = this.relay.groupLoadExcluding(self.address);
@@ -404,27 +415,27 @@
       );
     }
     this.entries = output.entries;
-    onEntries(output.entries);
+    onEntryCount(output.entries);
   }
 
-  private adoptRoles({standbys, relays}: ExchangeOutput): void {
+  private applyRoles({standbys, relays}: ExchangeOutput): void {
     const {lease, self} = this.deps;
     this.relays = relays;
     this.standbys = standbys;
     if (!standbys.includes(self.address)) lease.setStandby(false);
   }
 
-  private lost(holder: string, thrown: unknown): void {
+  private handleHolderFailure(holder: string, thrown: unknown): void {
     const {logger, lease, metrics} = this.deps;
     metrics.count('holder_exchanges_lost_total');
-    if (this.wasHeard) {
+    if (this.wasHolderReachable) {
       logger.warn('holder-lost', {holder, error: errorText(thrown)});
     }
-    this.wasHeard = false;
+    this.wasHolderReachable = false;
     lease.refreshHolder();
   }
 
-  /** Undefined while none is known but this process itself. */
+  /** Undefined while no holder other than this process is known. */
   private holderAddress(): string | undefined {
     const {lease, self} = this.deps;
     const {holderAddress} = lease.current();
--- a/packages/banyanfold-gateway/src/peers/leaseAcquisition.ts
+++ b/packages/banyanfold-gateway/src/peers/leaseAcquisition.ts
@@ -1,62 +1,62 @@
 /**
- * After four exchanges without a word of a holder that orders, the store is asked
- * who has the lease; by then it has dropped a holder that is dead.
+ * Time without contact to an ordering holder after which the store is queried
+ * for the owner of the lease. It spans four exchanges; by then the store has
+ * removed a holder whose process has ended.
  */
 const SILENT_HOLDER_MS = 1_000;
 /**
  * Between two processes that take a vacant lease: the first one has joined, and
- * the next one has heard so from the store.
+ * the next one has learned of that from the store.
  */
 const JOIN_STEP_MS = 300;
-/** Places in the order of those that are no standbys, or know of none. */
-const OTHER_PLACES = 4;
+/** Random ranks for processes that are not in the list of standbys. */
+const OTHER_RANKS = 4;
 
 /** What a process knows of the lease. */
 export interface LeaseObservation {
   nowMs: number;
-  /** Since a holder that orders was heard. */
-  holderSilenceMs: number;
-  /** The store last said that nobody has the lease. */
+  /** Time since the last contact with a holder that may give orders. */
+  silentMs: number;
+  /** Whether the lease had no owner in the store's last answer. */
   isVacant: boolean;
-  /** How many take it before this process. */
+  /** Number of processes that may acquire the lease before this one. */
   rank: number;
 }
 
-/** Nothing, asking the store who has it, or joining the group to take it. */
-export type LeaseAction = 'none' | 'ask' | 'join';
+/** No action, querying the store, or joining the group to acquire the lease. */
+export type LeaseStep = 'none' | 'ask' | 'join';
 
 /**
- * When a process takes a lease that nobody has: one after the other. While the
- * store names a holder all stay out, however slowly that one answers: each that
- * joins has the store deal the lease anew. On a busy fleet of 17 entries a holder
- * that had missed one renewal was followed by five others within 16 s, none of
- * which ordered for long, as all the rest joined.
+ * Decides when a process tries to acquire a vacant lease, one process after
+ * another. No process joins the group while the store names a holder, however
+ * slowly that holder answers, because the store reassigns the lease with each
+ * member that joins. When all of 17 entries under load joined after the holder
+ * had missed one renewal, the lease had five more holders within 16 s, and none
+ * of them gave orders for long.
  *
- * @example turn.next({nowMs, silentMs: 1_200, isVacant: false, place: 0}) // 'ask'
+ * @example
+ * acquisition.nextAction({nowMs, silentMs: 1_200, isVacant: false, rank: 0})
+ * // 'ask'
  */
 export class LeaseAcquisition {
   private vacantSinceMs: number | undefined;
 
-  nextAction({
-    nowMs,
-    holderSilenceMs: silentMs,
-    isVacant,
-    rank: place,
-  }: LeaseObservation): LeaseAction {
+  nextAction({nowMs, silentMs, isVacant, rank}: LeaseObservation): LeaseStep {
     const isSilent = silentMs > SILENT_HOLDER_MS;
     const isFree = isSilent && isVacant;
     this.vacantSinceMs = isFree ? (this.vacantSinceMs ?? nowMs) : undefined;
     if (!isSilent) return 'none';
     if (this.vacantSinceMs === undefined) return 'ask';
     const waitedMs = nowMs - this.vacantSinceMs;
-    return waitedMs >= place * JOIN_STEP_MS ? 'join' : 'ask';
+    return waitedMs >= rank * JOIN_STEP_MS ? 'join' : 'ask';
   }
 }
 
 /**
- * How many take a vacant lease before an entry, by the order of the standbys.
+ * Number of processes that may acquire a vacant lease before an entry: its
+ * position among the standbys, or a random rank after them.
  *
- * @example placeInLine('b:7', ['a:7', 'b:7'], Math.random) // 1
+ * @example acquisitionRank('b:7', ['a:7', 'b:7'], Math.random) // 1
  */
 export function acquisitionRank(
   entry: string,
@@ -65,5 +65,5 @@
 ): number {
   const place = standbys.indexOf(entry);
   if (place >= 0) return place;
-  return standbys.length + Math.floor(random() * OTHER_PLACES);
+  return standbys.length + Math.floor(random() * OTHER_RANKS);
 }
--- a/packages/banyanfold-gateway/src/peers/peerClient.ts
+++ b/packages/banyanfold-gateway/src/peers/peerClient.ts
@@ -16,24 +16,25 @@
   PeerConfig,
 } from './peerContract.js';
 
-/** A peer that this process speaks with some times a second. */
+/** Calls to a peer over one persistent connection. */
 export interface PeerClient {
-  /** @throws if no answer came in time, or the connection was lost. */
+  /** @throws if no answer arrives in time, or the connection is lost. */
   exchange(input: ExchangeInput): Promise<ExchangeOutput | NotHolder>;
-  /** @throws likewise. */
+  /** @throws as `exchange` does. */
   ensureAdapter(input: EnsureAdapterInput): Promise<EnsureAdapterOutput>;
-  /** @throws likewise. */
+  /** @throws as `exchange` does. */
   permitTrial(input: TrialInput): Promise<TrialOutput>;
   close(): void;
 }
 
 /**
- * A client over one connection that stays open. An exchange over it takes 0.45 ms
- * of a processor here and 0.37 at the peer; as a request of HTTP for each it took
- * 0.68 and 1.13, and small VMs had no time for it four times a second.
+ * Creates a client over one persistent WebSocket connection. An exchange takes
+ * 0.45 ms of processor time in this process and 0.37 ms at the peer. With one
+ * HTTP request for each exchange these were 0.68 ms and 1.13 ms, too much for
+ * small VMs at four exchanges a second.
  *
- * @param timeoutMs for an exchange, and for the connection to come about.
- * @param adapterTimeoutMs for an adapter to be there.
+ * @param timeoutMs limit for an exchange and for opening the connection.
+ * @param adapterTimeoutMs limit for an adapter to become available.
  */
 export function createPeerClient(
   address: string,
@@ -47,119 +48,125 @@
   }
   const socket = createWSClient({
     url: `ws://${address}`,
-    // The types of the library name the browser's class.
+    // The library declares the browser's WebSocket type.
     WebSocket: PeerSocket as unknown as typeof globalThis.WebSocket,
-    // A connection that ends is replaced by whoever uses the client.
+    // The user of the client replaces it when its connection ends.
     retryDelayMs: () => timeoutMs,
   });
   const client = createTRPCClient<PeerRouter>({
     links: [wsLink({client: socket})],
   });
   return {
-    exchange: input => within(timeoutMs, client.exchange.mutate(input)),
+    exchange: input => withTimeout(timeoutMs, client.exchange.mutate(input)),
     ensureAdapter: input =>
-      within(adapterTimeoutMs, client.ensureAdapter.mutate(input)),
-    permitTrial: input => within(timeoutMs, client.permitTrial.mutate(input)),
+      withTimeout(adapterTimeoutMs, client.ensureAdapter.mutate(input)),
+    permitTrial: input =>
+      withTimeout(timeoutMs, client.permitTrial.mutate(input)),
     close: () => void socket.close(),
   };
 }
 
-/** @throws if the answer takes longer. */
-async function within<T>(timeoutMs: number, answer: Promise<T>): Promise<T> {
+/** @throws if the answer takes longer than `timeoutMs`. */
+async function withTimeout<T>(
+  timeoutMs: number,
+  answer: Promise<T>,
+): Promise<T> {
   let timer: Timer | undefined;
-  const late = new Promise<never>((_resolve, reject) => {
+  const expired = new Promise<never>((_resolve, reject) => {
     const message = `no answer within ${timeoutMs} ms`;
     timer = startTimer(timeoutMs, () => reject(new Error(message)));
   });
   try {
-    return await Promise.race([answer, late]);
+    return await Promise.race([answer, expired]);
   } finally {
     timer?.cancel();
   }
 }
 
-/** A client for one call, over HTTP. */
-function createCallClient(address: string, timeoutMs: number) {
+/** Creates a client for a single call over HTTP. */
+function createHttpClient(address: string, timeoutMs: number) {
   const origin = `http://${address}`;
   const dispatcher = new Pool(origin, {
     connections: 1,
     connect: {timeout: timeoutMs},
   });
-  // A fetch as far as the link uses it. The runtime's own would load a second
-  // HTTP client into the process.
-  const send = async (url: unknown, init: unknown) => {
+  // Implements the part of `fetch` that the link uses. The runtime's own
+  // `fetch` would load a second HTTP client into the process.
+  const fetchWithPool = async (url: unknown, init: unknown) => {
     const {method, headers, body} = init as {
       method: Dispatcher.HttpMethod;
       headers: Record<string, string>;
       body?: string;
     };
-    const answer = await dispatcher.request({
+    const response = await dispatcher.request({
       path: String(url).slice(origin.length),
       method,
       headers,
       body: body ?? null,
       signal: timeoutSignal(timeoutMs),
     });
-    const status = answer.statusCode;
+    const status = response.statusCode;
     const ok = status >= 200 && status < 300;
-    return {ok, status, json: () => answer.body.json()};
+    return {ok, status, json: () => response.body.json()};
   };
   const client = createTRPCClient<PeerRouter>({
     links: [
       httpLink({
         url: `${origin}/trpc`,
-        fetch: send as unknown as typeof globalThis.fetch,
+        fetch: fetchWithPool as unknown as typeof globalThis.fetch,
       }),
     ],
   });
   return {client, close: () => void dispatcher.destroy()};
 }
 
-/** Asks a former holder for its last order; undefined without an answer. */
+/**
+ * Asks a former holder about its last order; undefined if it doesn't answer.
+ */
 export async function fetchLastOrder(
   address: string,
-  later: SuccessorHolder,
+  successor: SuccessorHolder,
   timeoutMs: number,
 ): Promise<LastOrder | undefined> {
-  const peer = createCallClient(address, timeoutMs);
+  const peer = createHttpClient(address, timeoutMs);
   try {
-    return await peer.client.lastOrder.query(later);
+    return await peer.client.lastOrder.query(successor);
   } catch {
-    // No answer is the finding: the former holder is out of reach.
+    // Undefined tells the caller that the former holder is unreachable.
     return undefined;
   } finally {
     peer.close();
   }
 }
 
-/** Asks a peer for its configuration; undefined without an answer. */
+/** Fetches the configuration of a peer; undefined if it doesn't answer. */
 export async function fetchPeerConfig(
   address: string,
   timeoutMs: number,
 ): Promise<PeerConfig | undefined> {
-  const peer = createCallClient(address, timeoutMs);
+  const peer = createHttpClient(address, timeoutMs);
   try {
     return await peer.client.config.query();
   } catch {
-    // Whoever tells of the version next is asked next.
+    // The next peer that announces the version is tried next.
     return undefined;
   } finally {
     peer.close();
   }
 }
 
-/** Offers the lease to a peer; false when it doesn't take it. */
+/** Offers the lease to a peer; false if the peer declines it. */
 export async function offerLease(
   address: string,
   handover: LeaseHandover,
   timeoutMs: number,
 ): Promise<boolean> {
-  const peer = createCallClient(address, timeoutMs);
+  const peer = createHttpClient(address, timeoutMs);
   try {
     return await peer.client.takeOver.mutate(handover);
   } catch {
-    // Without an answer it may have taken the lease; it must count as taken,
-    // or two would order with it.
+    // The peer may have accepted the lease although its answer was lost.
+    // Offering it to another peer could leave two processes that give orders.
     return true;
   } finally {
     peer.close();
--- a/packages/banyanfold-gateway/src/peers/peerClients.ts
+++ b/packages/banyanfold-gateway/src/peers/peerClients.ts
@@ -1,9 +1,9 @@
 import {createPeerClient, type PeerClient} from './peerClient.js';
 
-/** The holder, and a relay. */
-const KEPT_CLIENTS = 2;
+/** One for the holder and one for a relay. */
+const MAX_CLIENTS = 2;
 
-/** Clients of the few peers that this process speaks with, by address. */
+/** Caches the clients of the peers used last, by address. */
 export class PeerClients {
   private readonly clients = new Map<string, PeerClient>();
 
@@ -12,7 +12,7 @@
     private readonly adapterTimeoutMs: number,
   ) {}
 
-  /** The one that was not used for longest makes way. */
+  /** Returns the client for an address; evicts the least recently used one. */
   clientFor(address: string): PeerClient {
     const client =
       this.clients.get(address) ??
@@ -20,11 +20,14 @@
     this.clients.delete(address);
     this.clients.set(address, client);
     const [oldest] = this.clients.keys();
-    if (this.clients.size > KEPT_CLIENTS) this.drop(oldest!);
+    if (this.clients.size > MAX_CLIENTS) this.drop(oldest!);
     return client;
   }
 
-  /** Its connection may have fallen silent for good; the next use makes another. */
+  /**
+   * Closes a client whose connection may never answer again. The next use of
+   * the address opens a new connection.
+   */
   drop(address: string): void {
     this.clients.get(address)?.close();
     this.clients.delete(address);
--- a/packages/banyanfold-gateway/src/peers/peerContract.ts
+++ b/packages/banyanfold-gateway/src/peers/peerContract.ts
@@ -9,13 +9,13 @@
   type TrialOutput,
 } from '../crashes/crashContract.js';
 
-/** What one runner holds. */
+/** The models and adapters that one runner holds. */
 const runnerCopiesSchema = z.object({
   runnerId: z.string(),
   models: z.array(z.string()),
-  /** As model and name, joined by a slash. */
+  /** Each as the names of its model and adapter, joined by a slash. */
   adapters: z.array(z.string()),
-  /** A model comes or goes; no adapter can be fetched meanwhile. */
+  /** A model is being loaded or unloaded, so no adapter can be fetched. */
   isBusy: z.boolean(),
 });
 
@@ -23,17 +23,19 @@
 
 const countsSchema = z.record(z.string(), z.number());
 
-/** An entry, as those that choose among entries see it. */
+/** An entry, with the properties by which standbys and relays are chosen. */
 const memberSchema = z.object({
   address: z.string(),
   failureDomain: z.string(),
-  /** Cores' worth of processor that it may use. */
+  /** Processor cores that the process may use. */
   processorShare: z.number(),
 });
 
-/** What was asked for since the batch before; sent again until it is answered. */
+/**
+ * Demand since the previous batch. A batch is sent again until it is answered.
+ */
 const demandBatchSchema = z.object({
-  /** Differs from that of the batch before. */
+  /** Differs from the id of the previous batch. */
   batchId: z.string(),
   demand: z.array(
     z.object({
@@ -44,7 +46,7 @@
       adapters: countsSchema,
     }),
   ),
-  /** Answers by runner; left out by a process of a version without them. */
+  /** Request outcomes by runner; omitted by releases that don't send them. */
   outcomes: z
     .array(
       z.object({
@@ -54,7 +56,7 @@
       }),
     )
     .optional(),
-  /** Use of the caps; left out by a process of a version without them. */
+  /** Usage counted against caps; omitted by releases that don't send it. */
   usage: z
     .array(
       z.object({
@@ -64,7 +66,7 @@
       }),
     )
     .optional(),
-  /** Use of rate-limited runners; left out likewise. */
+  /** Usage of rate-limited runners; omitted by releases that don't send it. */
   rateUse: z
     .array(
       z.object({runnerId: z.string(), asked: z.number(), used: z.number()}),
@@ -75,31 +77,34 @@
 export type DemandBatch = z.infer<typeof demandBatchSchema>;
 
 /**
- * What an entry tells the holder of orders, or the relay that passes it on, some
- * times a second. A relay tells of its whole group at once.
+ * State that an entry sends to the holder, or to a relay that forwards it,
+ * several times a second. A relay sends the combined state of its group.
  */
 export const exchangeInputSchema = z.object({
-  /** Address of the process that tells. */
+  /** Address of the sending process. */
   entry: z.string(),
-  /** The entry itself, and those that it relays for. */
+  /** The entry itself and the entries that it relays for. */
   members: z.array(memberSchema),
-  /** Version of the configuration in force there; 0 for none. */
+  /** Version of the configuration in force there; 0 if there is none. */
   configVersion: z.number(),
-  /** Position of the last change of the runners that it has read. */
+  /** Position of the last change to the runners that it has read. */
   runnersChange: z.number(),
-  /** Up to where it has heard what the runners hold. */
+  /** Last revision of the runners' copies that it has received. */
   known: z.object({epoch: z.string(), revision: z.number()}).optional(),
   openWork: countsSchema,
-  /** Adapters that its requests use now, by runner. */
+  /** Adapters used by its requests in flight, by runner. */
   adaptersInUse: z.record(z.string(), z.array(z.string())),
-  /** Requests under way, by runner and model. */
+  /** Requests in flight, by runner and model. */
   modelsInUse: z.record(z.string(), countsSchema),
-  /** Requests that wait now for a copy, by model. */
+  /** Requests waiting for a copy, by model. */
   waiting: countsSchema,
   batch: demandBatchSchema,
-  /** Left out by a process of a version that doesn't tell of them. */
+  /** Omitted by releases that don't report crashes. */
   crashes: crashReportSchema.optional(),
-  /** Limits that runners have named, or have ceased to name; left out likewise. */
+  /**
+   * Rate limits that runners have announced or withdrawn; omitted by releases
+   * that don't send them.
+   */
   rateLimits: z
     .array(
       z.object({
@@ -109,39 +114,45 @@
       }),
     )
     .optional(),
-  /** Up to where it has heard of the suspects. */
+  /** Last version of the list of suspects that it has received. */
   knownSuspects: suspectListVersionSchema.optional(),
 });
 
-/** What the holder, or a relay, tells back. */
+/** State that the holder, or a relay on its behalf, returns to an entry. */
 export const exchangeOutputSchema = z.object({
   kind: z.literal('told'),
-  /** Address of the holder whose word it is. */
+  /** Address of the holder that produced the state. */
   holder: z.string(),
-  /** It may give orders now; else its lease has lapsed a moment ago. */
+  /**
+   * Whether the holder may give orders; false once its lease may have lapsed.
+   */
   isOrdering: z.boolean(),
-  /** Since what is told was known, in ms; 0 from a holder that orders. */
+  /** Age of the state in ms; 0 from a holder that may give orders. */
   ageMs: z.number(),
-  /** The highest version that an entry has told. */
+  /** Highest configuration version that any entry has reported. */
   configVersion: z.number(),
-  /** The last position of a change of the runners that an entry has told. */
+  /** Last position of a change to the runners that any entry has reported. */
   runnersChange: z.number(),
-  /** Since the holder itself last read the runners, in ms. */
+  /** Time since the holder itself last read the runners, in ms. */
   runnersReadAgeMs: z.number(),
   /**
-   * Since the holder itself last confirmed its configuration, in ms; left out by
-   * a process of a version without it, which confirms nothing.
+   * Time since the holder itself last confirmed that its configuration is
+   * current, in ms; omitted by releases that don't send it, and nothing is
+   * confirmed then.
    */
   configReadAgeMs: z.number().optional(),
-  /** Entries heard of within the last seconds, this one included. */
+  /** Number of entries seen within the last seconds, including the receiver. */
   entries: z.number(),
-  /** Entries that stand by for the lease, in the order in which they take it. */
+  /** Standbys for the lease, in the order in which they acquire it. */
   standbys: z.array(z.string()),
-  /** Relays in the failure domain of who asks; empty where all ask the holder. */
+  /**
+   * Relays in the receiver's failure domain; empty if all entries contact the
+   * holder directly.
+   */
   relays: z.array(z.string()),
-  /** Since each load from the weight store that still counts, in ms. */
+  /** Age of each load from the weight store that still counts, in ms. */
   loadAgesMs: z.array(z.number()),
-  /** Changes of what the runners hold since what the entry knew. */
+  /** Changes to the runners' copies since the revision that the entry knows. */
   copies: z.object({
     epoch: z.string(),
     revision: z.number(),
@@ -149,15 +160,19 @@
     runners: z.array(runnerCopiesSchema),
     gone: z.array(z.string()),
   }),
-  /** Until a copy serves, for models lately asked for that nobody holds. */
+  /** Time until a copy is ready, for recently requested models without one. */
   copiesInMs: countsSchema,
-  /** Work of the other entries, by runner; none where it is left out. */
+  /** Open work of the other entries, by runner; a missing runner has none. */
   peersWork: countsSchema,
-  /** Requests that the other entries have open there, likewise. */
+  /**
+   * Open requests of the other entries, by runner; a missing runner has none.
+   */
   peersRequests: countsSchema,
-  /** Runners that fail more than their peers, and for how long to avoid each. */
+  /**
+   * Remaining ejection time of runners that fail more often than their peers.
+   */
   ejectedForMs: countsSchema.optional(),
-  /** What is left of the caps, of organisations that were asked for lately. */
+  /** Remaining usage under the caps, for organisations with recent requests. */
   usage: z
     .record(
       z.string(),
@@ -168,7 +183,7 @@
       }),
     )
     .optional(),
-  /** The same limits, by runner, with what the fleet made of them. */
+  /** Rate limits by runner, with the usage of the whole fleet. */
   rateLimits: z
     .record(
       z.string(),
@@ -180,7 +195,9 @@
       }),
     )
     .optional(),
-  /** Requests that may crash runners; left out as in what entries tell. */
+  /**
+   * Requests that may crash runners; omitted by releases that don't send them.
+   */
   suspects: suspectListSchema.optional(),
 });
 
@@ -195,7 +212,7 @@
   reason: z.string(),
 });
 
-/** A holder that asks the one before it. */
+/** The holder that queries its predecessor. */
 export const successorHolderSchema = z.object({
   generation: z.number(),
   address: z.string(),
@@ -203,20 +220,20 @@
 
 export type SuccessorHolder = z.infer<typeof successorHolderSchema>;
 
-/** What a former holder answers to the one after it. */
+/** The answer of a former holder to its successor. */
 export const lastOrderOutputSchema = z.object({
-  /** Since the last order; undefined when none was given. */
+  /** Time since the last order; undefined if it gave none. */
   agoMs: z.number().optional(),
-  /** Since the process that answers has started. */
+  /** Uptime of the answering process. */
   upMs: z.number().default(0),
-  /** It is leaving or out of touch with the store, and orders no more. */
+  /** It is leaving or can't reach the store, and gives no more orders. */
   isOver: z.boolean(),
 });
 
-/** The lease on orders, as it goes from peer to peer. */
+/** A transfer of the lease from one peer to another. */
 export const leaseHandoverSchema = z.object({
   generation: z.number(),
-  /** Rises with each handover within a generation. */
+  /** Increases with each handover within a generation. */
   step: z.number(),
 });
 
@@ -225,7 +242,7 @@
 export type ExchangeInput = z.infer<typeof exchangeInputSchema>;
 export type ExchangeOutput = z.infer<typeof exchangeOutputSchema>;
 
-/** From a process that can't tell: who holds the lease, as far as it knows. */
+/** From a process without recent state: the holder of the lease, if known. */
 export interface NotHolder {
   kind: 'not-holder';
   holderAddress?: string;
@@ -234,24 +251,24 @@
 export type EnsureAdapterInput = z.infer<typeof ensureAdapterInputSchema>;
 export type EnsureAdapterOutput = z.infer<typeof ensureAdapterOutputSchema>;
 
-/** A configuration, for a peer that can't read it from the store. */
+/** A configuration for a peer that can't read it from the store. */
 export const peerConfigSchema = z.object({
   version: z.number(),
-  /** SHA-256 of the bytes, in hexadecimal. */
+  /** SHA-256 of the bytes, hex-encoded. */
   checksum: z.string(),
-  /** In base64. */
+  /** Base64-encoded. */
   bytes: z.string(),
 });
 
 export type PeerConfig = z.infer<typeof peerConfigSchema>;
 
-/** What each entry answers to its peers. */
+/** The calls that each entry answers for its peers. */
 export interface PeerHandlers extends HolderHandlers {
-  /** Undefined before it has one. */
+  /** Undefined until a configuration is in force. */
   config(): PeerConfig | undefined;
 }
 
-/** What the holder of orders answers to the entries. */
+/** The calls that the holder answers for entries. */
 export interface HolderHandlers {
   exchange(input: ExchangeInput): ExchangeOutput | NotHolder;
   ensureAdapter(input: EnsureAdapterInput): Promise<EnsureAdapterOutput>;
--- a/packages/banyanfold-gateway/src/peers/peerServer.ts
+++ b/packages/banyanfold-gateway/src/peers/peerServer.ts
@@ -5,15 +5,15 @@
 import type {ListenAddress} from '../types.js';
 import {createPeerRouter, type PeerHandlers} from './peerContract.js';
 
-/** Answers the other entries: lasting connections, and single calls over HTTP. */
+/** Serves peers over persistent WebSocket connections and single HTTP calls. */
 export class PeerServer {
   private readonly server: http.Server;
   private readonly sockets: WebSocketServer;
 
   constructor(handlers: PeerHandlers) {
     const router = createPeerRouter(handlers);
-    const serve = createHTTPHandler({router, basePath: '/trpc/'});
-    this.server = http.createServer((req, res) => serve(req, res));
+    const handleHttp = createHTTPHandler({router, basePath: '/trpc/'});
+    this.server = http.createServer((req, res) => handleHttp(req, res));
     this.sockets = new WebSocketServer({
       server: this.server,
       perMessageDeflate: false,
--- a/packages/banyanfold-gateway/src/peers/pendingDemand.ts
+++ b/packages/banyanfold-gateway/src/peers/pendingDemand.ts
@@ -5,29 +5,29 @@
 import type {DemandBatch} from './peerContract.js';
 
 /**
- * Demand on its way to the holder. What an exchange carried that got no answer
- * is sent again, the same batch under the same id: dropped instead, the holder
- * planned for the demand that its busiest moments left over, and copies came
- * for models that were asked for when it had time to listen.
+ * Holds the batch of demand that is in flight to the holder. An unanswered
+ * batch is sent again under the same id. If it were dropped, the holder would
+ * miss the demand of its busiest moments, and would load copies only for the
+ * models requested while it had time to answer.
  */
 export class PendingDemand {
   private batch: DemandBatch | undefined;
   private batches = 0;
 
-  /** @param lifeId differs between lives of a process at one address. */
+  /** @param processId differs between process starts at the same address. */
   constructor(
     private readonly meter: DemandMeter,
     private readonly takeUsage: () => UsageReport[],
     private readonly takeRateUse: () => RateUse[],
     private readonly outcomes: OutcomeMeter,
-    private readonly lifeId: string,
+    private readonly processId: string,
   ) {}
 
-  /** The batch that was not answered yet, or a new one. */
+  /** Returns the unacknowledged batch, or a new one if there is none. */
   nextBatch(): DemandBatch {
     this.batches += this.batch ? 0 : 1;
     this.batch ??= {
-      batchId: `${this.lifeId}#${this.batches}`,
+      batchId: `${this.processId}#${this.batches}`,
       demand: this.meter.take(),
       usage: this.takeUsage(),
       rateUse: this.takeRateUse(),
@@ -36,6 +36,7 @@
     return this.batch;
   }
 
+  /** Marks the last batch as received. */
   acknowledge(): void {
     this.batch = undefined;
   }
--- a/packages/banyanfold-gateway/src/peers/relay.ts
+++ b/packages/banyanfold-gateway/src/peers/relay.ts
@@ -20,47 +20,52 @@
   clock: Clock;
   /** Address of this process's internal listener. */
   address: string;
-  /** Where this process counts its own demand; that of its group adds to it. */
+  /** Counts the demand of this process; the group's demand is added to it. */
   demand: DemandMeter;
   usage: UsageMeter;
   outcomes: OutcomeMeter;
   rateLimits: RunnerRateLimits;
   suspects: CrashSuspects;
-  /** What this process itself has open. */
+  /** Load of this process, without its group. */
   ownLoad(): EntryLoad;
   holderAddress(): string | undefined;
-  /** Version in force here; 0 for none. */
+  /** Version in force in this process; 0 if there is none. */
   configVersion(): number;
-  /** An entry of the group has this version, and this process an older one. */
+  /**
+   * Called when an entry of the group has a newer version than this process.
+   */
   onNewerConfig(version: number, peer: string): void;
 }
 
-/** The holder's last word, as this process itself heard it. */
-interface HeardWord {
-  word: ExchangeOutput;
+/** The last state received from the holder, and when it was received. */
+interface HolderState {
+  output: ExchangeOutput;
   atMs: number;
 }
 
 /**
- * An older word than this is not passed on, in ms: three exchanges. Who asks
- * goes to the holder then.
+ * Maximum age of a state that is forwarded: three exchanges. With an older one,
+ * the requesting entry is sent to the holder.
+ */
+const MAX_STATE_AGE_MS = 800;
+/**
+ * Four exchanges. The load of an entry that has left the group is counted twice
+ * for at most this long.
  */
-const WORD_FRESH_MS = 800;
-/** Four exchanges; one that left the group is told twice for no longer. */
-const MEMBER_LOST_MS = 1_000;
+const MEMBER_TIMEOUT_MS = 1_000;
 
 /**
- * Speaks with the holder of orders for a group of entries: it adds up what they
- * tell, and tells them what the holder last said. It relays for whoever asks, as
- * long as the holder itself has spoken to it lately, so that a word is passed on
- * once and never goes round.
+ * Relays between the holder and a group of entries: it aggregates the state
+ * that the entries send, and forwards to them the holder's last state. It
+ * serves any entry as long as it has recent state from the holder itself, so a
+ * state is forwarded at most once and never circulates between relays.
  */
 export class Relay {
-  private readonly loads = new EntryLoads(MEMBER_LOST_MS);
+  private readonly loads = new EntryLoads(MEMBER_TIMEOUT_MS);
   private readonly batches = new SeenBatches();
   private readonly revisions: CopyRevisions;
   private readonly runners = new Map<string, RunnerCopies>();
-  private heard: HeardWord | undefined;
+  private holderState: HolderState | undefined;
   private newestConfig = 0;
   private newestRunnersChange = 0;
 
@@ -70,20 +75,21 @@
   }
 
   /**
-   * Another process has spoken as the holder; a word that was passed on isn't
-   * kept. Its own word of when it was the holder itself must not be either: it
-   * told all others to leave the group of the lease, which another had by then.
+   * Stores a state received from another process that is the holder, never one
+   * that was forwarded. Nor may it be a state that this process produced while
+   * it was the holder itself: once forwarded, it made all others leave the
+   * lease group although another process held the lease by then.
    */
-  noteHolderState(word: ExchangeOutput): void {
-    const {isWhole, runners, gone} = word.copies;
+  noteHolderState(output: ExchangeOutput): void {
+    const {isWhole, runners, gone} = output.copies;
     if (isWhole) this.runners.clear();
     for (const runner of runners) this.runners.set(runner.runnerId, runner);
     for (const runnerId of gone) this.runners.delete(runnerId);
     this.revisions.update([...this.runners.values()]);
-    this.heard = {word, atMs: this.options.clock.nowMs()};
+    this.holderState = {output, atMs: this.options.clock.nowMs()};
   }
 
-  /** What this process tells the holder: its own, with that of its group. */
+  /** Load of this process and its group, as it is sent to the holder. */
   groupLoad(own: RelayCandidate): EntryLoad {
     const {clock, address, ownLoad} = this.options;
     const nowMs = clock.nowMs();
@@ -93,7 +99,7 @@
     return {...load, members: [own, ...others]};
   }
 
-  /** The highest version and position that this process and its group know. */
+  /** Highest version and position known to this process and its group. */
   newestVersions(own: {configVersion: number; runnersChange: number}) {
     return {
       configVersion: Math.max(own.configVersion, this.newestConfig),
@@ -101,7 +107,7 @@
     };
   }
 
-  /** Open work and requests of the group, without an entry's own. */
+  /** Open work and requests of the group, excluding those of one entry. */
   groupLoadExcluding(entry: string) {
     const nowMs = this.options.clock.nowMs();
     return {
@@ -118,16 +124,17 @@
     rateLimits.meter.add(batch.rateUse ?? []);
   }
 
-  /** This process tells them on as its own. */
+  /** Adds the limits to those that this process reports as its own. */
   private noteRateLimits({rateLimits = []}: ExchangeInput): void {
     for (const limit of rateLimits) this.options.rateLimits.noteTold(limit);
   }
 
+  /** Handles an entry's exchange; without recent state it names the holder. */
   exchange(input: ExchangeInput): ExchangeOutput | NotHolder {
     const {clock, suspects, address, ownLoad, holderAddress} = this.options;
     const nowMs = clock.nowMs();
-    const {heard} = this;
-    if (!heard || nowMs - heard.atMs > WORD_FRESH_MS) {
+    const {holderState} = this;
+    if (!holderState || nowMs - holderState.atMs > MAX_STATE_AGE_MS) {
       return {kind: 'not-holder', holderAddress: holderAddress()};
     }
     const {entry, batch, configVersion, runnersChange} = input;
@@ -145,22 +152,26 @@
       this.newestRunnersChange,
       runnersChange,
     );
-    const {word, atMs} = heard;
+    const {output, atMs} = holderState;
     const group = this.groupLoadExcluding(entry);
     return {
-      ...word,
-      ageMs: word.ageMs + nowMs - atMs,
-      configVersion: Math.max(word.configVersion, this.newestConfig),
-      runnersChange: Math.max(word.runnersChange, this.newestRunnersChange),
+      ...output,
+      ageMs: output.ageMs + nowMs - atMs,
+      configVersion: Math.max(output.configVersion, this.newestConfig),
+      runnersChange: Math.max(output.runnersChange, this.newestRunnersChange),
       copies: this.revisions.since(input.known),
-      peersWork: sumByKey(word.peersWork, group.work),
-      peersRequests: sumByKey(word.peersRequests, group.requests),
+      peersWork: sumByKey(output.peersWork, group.work),
+      peersRequests: sumByKey(output.peersRequests, group.requests),
       suspects: suspects.suspectListFor(input.knownSuspects),
     };
   }
 }
 
-/** @example added({a: 1}, {a: 2, b: 3}) // {a: 3, b: 3} */
+/**
+ * Adds two records of numbers, key by key.
+ *
+ * @example sumByKey({a: 1}, {a: 2, b: 3}) // {a: 3, b: 3}
+ */
 export function sumByKey(
   one: Readonly<Record<string, number>>,
   other: Readonly<Record<string, number>>,
--- a/packages/banyanfold-gateway/src/peers/urgentIntervalMs.ts
+++ b/packages/banyanfold-gateway/src/peers/urgentIntervalMs.ts
@@ -1,13 +1,14 @@
 import type {GatewayOptions} from '../options.js';
 
-/** Up to so many entries the holder bears the shortest interval from each. */
+/** Number of entries from which the holder can serve the shortest interval. */
 const FEW_ENTRIES = 8;
 
 /**
- * How soon an entry speaks with the holder again while callers wait for copies.
- * With more entries each does so less often, so that together they ask no more:
- * on a busy day of a large fleet some caller waits at each entry all the time,
- * and exchanges every 60 ms from all left the holder no time to order anything.
+ * Minimum interval between an entry's exchanges with the holder while callers
+ * wait for copies. It grows with the number of entries, so that the total rate
+ * stays the same. In a large fleet under load, some caller waits at each entry
+ * all the time, and exchanges every 60 ms from all of them left the holder no
+ * time to give orders.
  *
  * @example urgentIntervalMs(16, DEFAULT_OPTIONS) // 120
  */
