--- a/packages/banyanfold-gateway/src/__tests__/crashDetector.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashDetector.test.ts
@@ -52,8 +52,8 @@
     watch.noteConnectionLost(RUNNER, 'f3');
     expect(probes).toBe(1);
     expect(crashes).toEqual([
-      {incarnation: 'r1@5', fingerprints: ['f1', 'f2']},
-      {incarnation: 'r1@5', fingerprints: ['f3']},
+      {crashId: 'r1@5', fingerprints: ['f1', 'f2']},
+      {crashId: 'r1@5', fingerprints: ['f3']},
     ]);
   });
 
@@ -80,7 +80,7 @@
     await clock.advance(1_000);
     expect(crashes).toEqual([]);
     view.onRemoval('r1');
-    expect(crashes).toEqual([{incarnation: 'r1@5', fingerprints: ['f1']}]);
+    expect(crashes).toEqual([{crashId: 'r1@5', fingerprints: ['f1']}]);
   });
 
   it('believes the registry of a new life, but not of one long after', async () => {
--- a/packages/banyanfold-gateway/src/__tests__/crashSuspects.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashSuspects.test.ts
@@ -26,9 +26,9 @@
   it('goes by what it saw itself until the holder has judged it', async () => {
     // The next sending comes 20 ms after the second crash; the holder's word takes
     // longer. A second later that word holds, whatever was seen here.
-    suspects.noteCrash({incarnation: 'l1', fingerprints: ['a', 'b']});
+    suspects.noteCrash({crashId: 'l1', fingerprints: ['a', 'b']});
     expect(suspects.verdictOf('a')).toBeUndefined();
-    suspects.noteCrash({incarnation: 'l2', fingerprints: ['a']});
+    suspects.noteCrash({crashId: 'l2', fingerprints: ['a']});
     expect(suspects.verdictOf('a')).toBe('suspect');
     expect(suspects.verdictOf('b')).toBeUndefined();
     suspects.applyList(told(1));
@@ -47,7 +47,7 @@
   });
 
   it('tells all until it is answered, also for others', () => {
-    suspects.noteCrash({incarnation: 'l1', fingerprints: ['a']});
+    suspects.noteCrash({crashId: 'l1', fingerprints: ['a']});
     const first = suspects.pendingReport();
     suspects.forward({
       crashes: [{life: 'l1', fingerprints: ['b']}],
@@ -65,7 +65,7 @@
     // Three runners crashed under a request before the holder was lost. Untold,
     // the next holder would let it crash three more, and so would its word before
     // it has heard.
-    suspects.noteCrash({incarnation: 'l1', fingerprints: ['a']});
+    suspects.noteCrash({crashId: 'l1', fingerprints: ['a']});
     suspects.applyList(told(1, 'guilty!', 'mere'));
     suspects.pendingReport();
     suspects.acknowledge();
@@ -97,7 +97,7 @@
   it('tells of an answer only where there was a suspicion', () => {
     suspects.noteServed('a');
     expect(suspects.pendingReport()).toBeUndefined();
-    suspects.noteCrash({incarnation: 'l1', fingerprints: ['a']});
+    suspects.noteCrash({crashId: 'l1', fingerprints: ['a']});
     suspects.noteServed('a');
     suspects.noteServed('a');
     expect(suspects.pendingReport()?.served).toEqual(['a']);
--- a/packages/banyanfold-gateway/src/__tests__/quarantineKeeper.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/quarantineKeeper.test.ts
@@ -120,7 +120,7 @@
     isHeard = false;
     await clock.advance(10_000);
     expect(calls).toBe(1);
-    suspects.noteCrash({incarnation: 'r1@1', fingerprints: ['a']});
+    suspects.noteCrash({crashId: 'r1@1', fingerprints: ['a']});
     kept.set('a', clock.wallMs());
     await clock.advance(2_500);
     expect(suspects.verdictOf('a')).toBe('quarantined');
--- a/packages/banyanfold-gateway/src/crashes/crashContract.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashContract.ts
@@ -1,16 +1,16 @@
 import {z} from 'zod';
 
-/** What an entry, or a relay for its group, tells of crashes. */
+/** Crash data that an entry, or a relay for its group, sends to the holder. */
 export const crashReportSchema = z.object({
-  /** Requests that were at a runner when it crashed, by life of the runner. */
+  /** Requests in flight at a crashed runner; `life` identifies the crash. */
   crashes: z.array(
     z.object({life: z.string(), fingerprints: z.array(z.string())}),
   ),
-  /** Suspects that were answered whole by a runner. */
+  /** Suspects that a runner answered completely. */
   served: z.array(z.string()),
-  /** Trials that ended in neither; `ran` where a runner may have begun it. */
+  /** Trials without a result; `ran` if a runner may have started one. */
   trialsOver: z.array(z.object({fingerprint: z.string(), ran: z.boolean()})),
-  /** Known to be in quarantine; told to a holder that may not know. */
+  /** Quarantined requests, for a holder that may not know about them. */
   quarantined: z.array(z.string()),
 });
 
@@ -18,18 +18,19 @@
 
 const suspectSchema = z.object({
   fingerprint: z.string(),
-  /** Until it leaves quarantine, in ms; undefined for a mere suspect. */
+  /** Remaining quarantine in ms; undefined for a mere suspect. */
   quarantinedMs: z.number().optional(),
 });
 
 export type Suspect = z.infer<typeof suspectSchema>;
 
-/** What the holder tells all entries. */
+/** The list of suspects, as the holder sends it to all entries. */
 export const suspectListSchema = z.object({
-  /** Differs with each holder, and with each change of the list. */
+  /** Differs between holders. */
   epoch: z.string(),
+  /** Increases with each change of the list. */
   revision: z.number(),
-  /** The whole list; left out for one that has this revision. */
+  /** The complete list; omitted for a receiver that has this revision. */
   suspects: z.array(suspectSchema).optional(),
 });
 
@@ -41,17 +42,17 @@
   revision: true,
 });
 
-/** An entry asks where a suspect may run. */
+/** An entry's request to run a suspect. */
 export const trialInputSchema = z.object({
   fingerprint: z.string(),
-  /** Where it could run, the best one first. */
+  /** Runners that could run it, in order of preference. */
   runnerIds: z.array(z.string()),
-  /** It is over by then in any case, in ms. */
+  /** Maximum duration of the trial, in ms. */
   forMs: z.number(),
 });
 
 export const trialOutputSchema = z.object({
-  /** Undefined while it has to wait. */
+  /** Undefined while the suspect has to wait. */
   runnerId: z.string().optional(),
   reason: z.string(),
 });
--- a/packages/banyanfold-gateway/src/crashes/crashDetector.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashDetector.ts
@@ -3,10 +3,10 @@
 import type {FleetView} from '../view/fleetView.js';
 import type {ListenerState} from './probeListener.js';
 
-/** Requests that were at a runner when it crashed, as this process saw it. */
+/** A crash of a runner, with the requests of this process that it aborted. */
 export interface ObservedCrash {
-  /** Names one life of a runner. */
-  incarnation: string;
+  /** The runner and the start time of its process, as `runnerId@bornMs`. */
+  crashId: string;
   fingerprints: readonly string[];
 }
 
@@ -16,16 +16,16 @@
   metrics: Metrics;
   view: FleetView;
   probe(address: string): Promise<ListenerState>;
-  /** Called again for the same life as more of its requests come to light. */
+  /** Called again for the same crash when more aborted requests are found. */
   onCrash(crash: ObservedCrash): void;
 }
 
-/** What is known of a runner that cut requests off. */
-interface CutOff {
+/** A runner that closed connections with requests in flight. */
+interface CrashCandidate {
   runnerId: string;
   bornMs: number;
   atMs: number;
-  state: ListenerState | 'asked' | 'crashed';
+  state: ListenerState | 'probing' | 'crashed';
   fingerprints: Set<string>;
 }
 
@@ -33,83 +33,85 @@
 const REGISTRY_WAIT_MS = 8_000;
 
 /**
- * Notices that a runner crashed under requests of this process. One broken
- * connection is no sign of it: runners cut off single answers too. So the
- * runner's address is tried once; where nothing answers at all, the registry's
- * word decides, which comes seconds later.
+ * Detects that a runner crashed with requests of this process in flight. One
+ * closed connection is not enough evidence, because runners also abort single
+ * answers. So the runner's address is probed once. If nothing answers, the
+ * registry decides, which takes some seconds more.
  */
 export class CrashDetector {
-  private readonly cutOffs = new Map<string, CutOff>();
+  private readonly candidates = new Map<string, CrashCandidate>();
 
   constructor(private readonly options: CrashDetectorOptions) {
-    options.view.onChange(() => this.askRegistry());
+    options.view.onChange(() => this.checkRegistry());
   }
 
-  /** The runner's side ended a request's connection before its answer was out. */
-  noteConnectionLost(sentTo: RunnerRegistration, fingerprint: string): void {
+  /**
+   * The runner closed a request's connection before its answer was complete.
+   */
+  noteConnectionLost(runner: RunnerRegistration, fingerprint: string): void {
     const {view, clock} = this.options;
-    const {runnerId, bornMs, address} = sentTo;
+    const {runnerId, bornMs, address} = runner;
     const known = view.runner(runnerId);
-    // One that leaves as planned ends too, and cuts off what it still runs.
+    // A runner that leaves as planned also aborts the requests it still runs.
     if (!known || known.leaving) return;
-    const life = `${runnerId}@${bornMs}`;
-    const found = this.cutOffs.get(life);
+    const crashId = `${runnerId}@${bornMs}`;
+    const found = this.candidates.get(crashId);
     if (found) {
       found.fingerprints.add(fingerprint);
-      if (found.state === 'crashed') this.tell(life, [fingerprint]);
+      if (found.state === 'crashed') this.reportCrash(crashId, [fingerprint]);
       return;
     }
     this.forgetOld();
-    this.cutOffs.set(life, {
+    this.candidates.set(crashId, {
       runnerId,
       bornMs,
       atMs: clock.nowMs(),
-      state: 'asked',
+      state: 'probing',
       fingerprints: new Set([fingerprint]),
     });
-    void this.probe(life, address);
+    void this.probe(crashId, address);
   }
 
-  private async probe(life: string, address: string): Promise<void> {
+  private async probe(crashId: string, address: string): Promise<void> {
     const state = await this.options.probe(address);
-    const cutOff = this.cutOffs.get(life);
-    if (!cutOff || cutOff.state !== 'asked') return;
-    cutOff.state = state;
-    if (state === 'refused') this.crashed(life, cutOff);
-    // It lives: what it cut off now says nothing of a crash later.
-    if (state === 'listening') this.cutOffs.delete(life);
+    const crash = this.candidates.get(crashId);
+    if (!crash || crash.state !== 'probing') return;
+    crash.state = state;
+    if (state === 'refused') this.confirm(crashId, crash);
+    // It is running, so these requests are no evidence for a later crash.
+    if (state === 'listening') this.candidates.delete(crashId);
   }
 
-  /** Decides what no answer has decided. */
-  private askRegistry(): void {
+  /** Decides about the candidates whose probe got no answer. */
+  private checkRegistry(): void {
     this.forgetOld();
-    for (const [life, cutOff] of this.cutOffs) {
-      if (cutOff.state !== 'unknown') continue;
-      const known = this.options.view.runner(cutOff.runnerId);
-      if (!known || known.bornMs > cutOff.bornMs) this.crashed(life, cutOff);
+    for (const [crashId, crash] of this.candidates) {
+      if (crash.state !== 'unknown') continue;
+      const known = this.options.view.runner(crash.runnerId);
+      if (!known || known.bornMs > crash.bornMs) this.confirm(crashId, crash);
     }
   }
 
-  private crashed(life: string, cutOff: CutOff): void {
-    cutOff.state = 'crashed';
+  private confirm(crashId: string, crash: CrashCandidate): void {
+    crash.state = 'crashed';
     this.options.metrics.count('runner_crashes_seen_total');
-    this.tell(life, [...cutOff.fingerprints]);
+    this.reportCrash(crashId, [...crash.fingerprints]);
   }
 
-  private tell(life: string, fingerprints: readonly string[]): void {
+  private reportCrash(crashId: string, fingerprints: readonly string[]): void {
     const {logger, onCrash} = this.options;
     logger.warn('runner-crashed', {
-      life,
+      life: crashId,
       requests: fingerprints.length,
       fingerprints: fingerprints.join(','),
     });
-    onCrash({incarnation: life, fingerprints});
+    onCrash({crashId, fingerprints});
   }
 
   private forgetOld(): void {
     const oldestMs = this.options.clock.nowMs() - REGISTRY_WAIT_MS;
-    for (const [life, {atMs}] of this.cutOffs) {
-      if (atMs < oldestMs) this.cutOffs.delete(life);
+    for (const [crashId, {atMs}] of this.candidates) {
+      if (atMs < oldestMs) this.candidates.delete(crashId);
     }
   }
 }
--- a/packages/banyanfold-gateway/src/crashes/crashLedger.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashLedger.ts
@@ -18,69 +18,75 @@
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
-  /** Differs between holders, and between lives of one. */
+  /** Differs between holders and between process starts of one. */
   epoch: string;
-  /** Called when a request is put into quarantine. */
+  /** Called when a request is quarantined. */
   onQuarantine?: (fingerprint: string) => void;
 }
 
 interface LedgerRow extends CrashRow {
   crashes: Set<string>;
-  /** When it was last heard of. */
+  /** Time of the last event that concerns the request. */
   atMs: number;
   quarantinedAtMs?: number;
 }
 
-/** Quarantine ends then, with one more trial: a new version may have come. */
+/**
+ * Duration of a quarantine. Another trial follows, as a new version of the
+ * runners may handle the request.
+ */
 export const QUARANTINE_MS = 3_600_000;
-/** A request that runners crashed under once or twice is forgotten by then. */
-const EVIDENCE_MS = 600_000;
-const FORGET_INTERVAL_MS = 1_000;
-/** Rows that are kept at most, some 200 bytes each. */
+/** How long the crashes of a request that isn't quarantined are kept. */
+const CRASH_RETENTION_MS = 600_000;
+const EVICTION_INTERVAL_MS = 1_000;
+/** Maximum number of rows, some 200 bytes each. */
 const MAX_ROWS = 4_000;
-/** Dropped at once when there are more, so that they are sorted seldom. */
-const DROPPED_ROWS = 400;
-/** More say nothing new of a request, but for those of its trials. */
-const MAX_CRASHES_KEPT = 16;
-/** All entries have told of a crash by then: two exchanges and a relay's. */
-const SETTLE_MS = 700;
+/** Number of rows evicted at once, so that rows are rarely sorted. */
+const EVICTED_ROWS = 400;
+/** Maximum crashes per row. Only crashes in trials add evidence beyond it. */
+const MAX_CRASHES_PER_ROW = 16;
+/**
+ * Time until all entries have reported a crash: two exchanges and one of a
+ * relay.
+ */
+const REPORT_WINDOW_MS = 700;
 
 /**
- * What all entries have told of crashes, at the holder. It says which requests
- * are suspects and where one may be tried.
+ * Collects, at the holder, the crashes that all entries report. It determines
+ * which requests are suspects, and at which runner a suspect may have a trial.
  */
 export class CrashLedger {
   private readonly rows = new Map<string, LedgerRow>();
-  private readonly firstToldMs = new Map<string, number>();
+  private readonly reportTimes = new Map<string, number>();
   private readonly trials: CrashTrials;
   private verdicts: ReadonlyMap<string, CrashVerdict> = new Map();
   private revision = 0;
   private isChanged = false;
-  private forgotMs = Number.NEGATIVE_INFINITY;
-  private settlesAtMs = Number.POSITIVE_INFINITY;
+  private lastEvictionMs = Number.NEGATIVE_INFINITY;
+  private nextWindowEndMs = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: CrashLedgerOptions) {
     this.trials = new CrashTrials(options.clock);
   }
 
-  /** Takes in what an entry tells; told twice, it counts once. */
-  addReport(news: CrashReport): void {
-    for (const {life, fingerprints} of news.crashes) {
+  /** Adds an entry's report. A report that arrives twice counts once. */
+  addReport(report: CrashReport): void {
+    for (const {life: crashId, fingerprints} of report.crashes) {
       for (const fingerprint of fingerprints) {
-        this.noteCrash(life, fingerprint);
+        this.noteCrash(crashId, fingerprint);
       }
     }
-    for (const fingerprint of news.served) this.noteServed(fingerprint);
-    for (const {fingerprint, ran} of news.trialsOver) {
+    for (const fingerprint of report.served) this.noteServed(fingerprint);
+    for (const {fingerprint, ran} of report.trialsOver) {
       this.noteTrialOver(fingerprint, ran);
     }
-    this.noteQuarantined(news.quarantined);
+    this.noteQuarantined(report.quarantined);
   }
 
-  /** Known to be guilty by an entry, or by the store. */
+  /** Adds requests that an entry or the store knows to be quarantined. */
   noteQuarantined(fingerprints: readonly string[]): void {
     for (const fingerprint of fingerprints) {
-      const row = this.rowOf(fingerprint);
+      const row = this.getOrAddRow(fingerprint);
       if (row.isKnownGuilty) continue;
       row.isKnownGuilty = true;
       row.quarantinedAtMs ??= this.options.clock.nowMs();
@@ -88,9 +94,9 @@
     }
   }
 
-  /** The list of suspects, for one that has heard of it up to `known`. */
+  /** The list of suspects for an entry that has received version `known`. */
   suspectListFor(known: SuspectListVersion | undefined): SuspectList {
-    this.judge();
+    this.updateVerdicts();
     const {epoch, clock} = this.options;
     const {revision} = this;
     if (known?.epoch === epoch && known.revision === revision) {
@@ -100,18 +106,19 @@
     const suspects = [...this.verdicts.keys()].map(fingerprint => {
       const {quarantinedAtMs} = this.rows.get(fingerprint) ?? {};
       if (quarantinedAtMs === undefined) return {fingerprint};
-      const leftMs = quarantinedAtMs + QUARANTINE_MS - nowMs;
-      return {fingerprint, quarantinedMs: Math.max(0, Math.round(leftMs))};
+      const remainingMs = quarantinedAtMs + QUARANTINE_MS - nowMs;
+      return {fingerprint, quarantinedMs: Math.max(0, Math.round(remainingMs))};
     });
     return {epoch, revision, suspects};
   }
 
+  /** Chooses a runner for a trial, or returns why the suspect has to wait. */
   permitTrial(input: TrialInput): TrialOutput {
     const {fingerprint} = input;
     for (const overdue of this.trials.expireOverdue()) {
       this.noteUnresolved(overdue);
     }
-    this.judge();
+    this.updateVerdicts();
     if (this.verdicts.get(fingerprint) === 'quarantined') {
       return {reason: 'quarantined'};
     }
@@ -127,20 +134,20 @@
     return {runnerId, reason: 'alone'};
   }
 
-  private noteCrash(life: string, fingerprint: string): void {
-    const row = this.rowOf(fingerprint);
+  private noteCrash(crashId: string, fingerprint: string): void {
+    const row = this.getOrAddRow(fingerprint);
     row.atMs = this.options.clock.nowMs();
-    if (row.crashes.has(life)) return;
-    const isTrial = this.trials.isTrialRunAt(fingerprint, life);
-    if (!isTrial && row.crashes.size >= MAX_CRASHES_KEPT) return;
-    row.crashes.add(life);
+    if (row.crashes.has(crashId)) return;
+    const isTrial = this.trials.isTrialCrash(fingerprint, crashId);
+    if (!isTrial && row.crashes.size >= MAX_CRASHES_PER_ROW) return;
+    row.crashes.add(crashId);
     if (isTrial) row.hasCrashedAlone = true;
-    if (!this.firstToldMs.has(life)) this.firstToldMs.set(life, row.atMs);
+    if (!this.reportTimes.has(crashId)) this.reportTimes.set(crashId, row.atMs);
     if (row.hasCrashedAlone) this.trials.end(fingerprint);
     this.isChanged = true;
   }
 
-  /** What runs to its end crashes nothing. */
+  /** Removes a suspect: a request that completes doesn't crash runners. */
   private noteServed(fingerprint: string): void {
     this.trials.end(fingerprint);
     const row = this.rows.get(fingerprint);
@@ -160,27 +167,28 @@
     this.isChanged = true;
   }
 
-  private judge(): void {
+  private updateVerdicts(): void {
     const nowMs = this.options.clock.nowMs();
-    this.forgetOld(nowMs);
-    if (!this.isChanged && nowMs < this.settlesAtMs) return;
+    this.evictOld(nowMs);
+    if (!this.isChanged && nowMs < this.nextWindowEndMs) return;
     this.isChanged = false;
     const before = this.verdicts;
-    this.verdicts = judgeCrashes(this.rows.values(), life =>
-      this.isSettled(life, nowMs),
+    this.verdicts = judgeCrashes(this.rows.values(), crashId =>
+      this.isFullyReported(crashId, nowMs),
     );
-    this.settlesAtMs = this.nextSettleMs(nowMs);
-    if (isSame(before, this.verdicts)) return;
+    this.nextWindowEndMs = this.findNextWindowEndMs(nowMs);
+    if (areVerdictsEqual(before, this.verdicts)) return;
     this.revision += 1;
-    this.notePutIn(nowMs);
+    this.updateQuarantine(nowMs);
   }
 
-  private notePutIn(nowMs: number): void {
+  /** Updates the rows whose verdict changed to or from quarantine. */
+  private updateQuarantine(nowMs: number): void {
     const {logger, metrics, onQuarantine} = this.options;
     for (const [fingerprint, row] of this.rows) {
-      const isIn = this.verdicts.get(fingerprint) === 'quarantined';
-      if (!isIn) row.quarantinedAtMs = undefined;
-      if (!isIn || row.quarantinedAtMs !== undefined) continue;
+      const isQuarantined = this.verdicts.get(fingerprint) === 'quarantined';
+      if (!isQuarantined) row.quarantinedAtMs = undefined;
+      if (!isQuarantined || row.quarantinedAtMs !== undefined) continue;
       row.quarantinedAtMs = nowMs;
       metrics.count('requests_quarantined_total');
       logger.warn('request-quarantined', {
@@ -192,7 +200,7 @@
     }
   }
 
-  /** It has crashed a runner by itself, and not all have told of it yet. */
+  /** Whether it crashed a runner in a trial and reports are outstanding. */
   private isBeingJudged(fingerprint: string): boolean {
     const row = this.rows.get(fingerprint);
     const {quarantineCrashes} = JUDGE_CRASHES_OPTIONS;
@@ -200,24 +208,28 @@
       return false;
     }
     const nowMs = this.options.clock.nowMs();
-    return [...row.crashes].some(life => !this.isSettled(life, nowMs));
+    return [...row.crashes].some(
+      crashId => !this.isFullyReported(crashId, nowMs),
+    );
   }
 
-  private isSettled(life: string, nowMs: number): boolean {
-    const toldMs = this.firstToldMs.get(life) ?? Number.NEGATIVE_INFINITY;
-    return nowMs - toldMs >= SETTLE_MS;
+  /** Whether all entries have reported which requests were at the runner. */
+  private isFullyReported(crashId: string, nowMs: number): boolean {
+    const reportedMs =
+      this.reportTimes.get(crashId) ?? Number.NEGATIVE_INFINITY;
+    return nowMs - reportedMs >= REPORT_WINDOW_MS;
   }
 
-  private nextSettleMs(nowMs: number): number {
+  private findNextWindowEndMs(nowMs: number): number {
     let nextMs = Number.POSITIVE_INFINITY;
-    for (const toldMs of this.firstToldMs.values()) {
-      const atMs = toldMs + SETTLE_MS;
+    for (const reportedMs of this.reportTimes.values()) {
+      const atMs = reportedMs + REPORT_WINDOW_MS;
       if (atMs > nowMs) nextMs = Math.min(nextMs, atMs);
     }
     return nextMs;
   }
 
-  private rowOf(fingerprint: string): LedgerRow {
+  private getOrAddRow(fingerprint: string): LedgerRow {
     let row = this.rows.get(fingerprint);
     if (!row) {
       row = {
@@ -229,30 +241,30 @@
         atMs: this.options.clock.nowMs(),
       };
       this.rows.set(fingerprint, row);
-      this.keepBounded();
+      this.evictSurplus();
     }
     return row;
   }
 
-  private forgetOld(nowMs: number): void {
-    if (nowMs - this.forgotMs < FORGET_INTERVAL_MS) return;
-    this.forgotMs = nowMs;
+  private evictOld(nowMs: number): void {
+    if (nowMs - this.lastEvictionMs < EVICTION_INTERVAL_MS) return;
+    this.lastEvictionMs = nowMs;
     for (const row of this.rows.values()) {
       const {quarantinedAtMs} = row;
       if (quarantinedAtMs !== undefined) {
-        if (nowMs - quarantinedAtMs >= QUARANTINE_MS) this.release(row);
-      } else if (nowMs - row.atMs >= EVIDENCE_MS) {
+        if (nowMs - quarantinedAtMs >= QUARANTINE_MS) this.endQuarantine(row);
+      } else if (nowMs - row.atMs >= CRASH_RETENTION_MS) {
         this.rows.delete(row.fingerprint);
         this.isChanged = true;
       }
     }
-    for (const [life, toldMs] of this.firstToldMs) {
-      if (nowMs - toldMs >= EVIDENCE_MS) this.firstToldMs.delete(life);
+    for (const [crashId, atMs] of this.reportTimes) {
+      if (nowMs - atMs >= CRASH_RETENTION_MS) this.reportTimes.delete(crashId);
     }
   }
 
-  /** Two crashes stay on the record: it is a suspect, and tried once more. */
-  private release(row: LedgerRow): void {
+  /** Ends a quarantine. Two crashes are kept, so the request is a suspect. */
+  private endQuarantine(row: LedgerRow): void {
     const {fingerprint} = row;
     row.crashes = new Set([`${fingerprint}#1`, `${fingerprint}#2`]);
     row.hasCrashedAlone = false;
@@ -263,21 +275,21 @@
     this.isChanged = true;
   }
 
-  /** Drops what says least: the oldest of those with the fewest crashes. */
-  private keepBounded(): void {
+  /** Evicts the rows with the fewest crashes, the oldest ones first. */
+  private evictSurplus(): void {
     if (this.rows.size <= MAX_ROWS) return;
     const rank = ({crashes, isKnownGuilty}: LedgerRow) =>
-      isKnownGuilty ? MAX_CRASHES_KEPT : crashes.size;
-    const least = [...this.rows.values()]
+      isKnownGuilty ? MAX_CRASHES_PER_ROW : crashes.size;
+    const evicted = [...this.rows.values()]
       .slice(0, -1)
       .sort((a, b) => rank(a) - rank(b) || a.atMs - b.atMs)
-      .slice(0, DROPPED_ROWS);
-    for (const {fingerprint} of least) this.rows.delete(fingerprint);
+      .slice(0, EVICTED_ROWS);
+    for (const {fingerprint} of evicted) this.rows.delete(fingerprint);
     this.isChanged = true;
   }
 }
 
-function isSame(
+function areVerdictsEqual(
   one: ReadonlyMap<string, CrashVerdict>,
   other: ReadonlyMap<string, CrashVerdict>,
 ): boolean {
--- a/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
@@ -7,147 +7,162 @@
 } from './crashContract.js';
 import type {ObservedCrash} from './crashDetector.js';
 
-/** A crash that this process has seen itself. */
-interface OwnCrash {
-  life: string;
+/** A crash that this process observed itself. */
+interface LocalCrash {
+  crashId: string;
   atMs: number;
 }
 
 /**
- * The holder has judged by what was told it by then, and its word is back: two
- * exchanges by way of a relay.
+ * Time in which the holder judges a reported crash and its verdict reaches this
+ * entry: two exchanges through a relay.
  */
-const WORD_BACK_MS = 1_000;
-/** A new holder has heard by then what its former one and the store know. */
-const HOLDER_LEARNS_MS = 2 * WORD_BACK_MS;
-/** The store's word holds so long; it is read every two seconds if need be. */
-const STORED_HOLDS_MS = 5_000;
-/** Crashes are told anew to a new holder for so long, in ms. */
-const EVIDENCE_MS = 600_000;
-/** Requests whose crashes are kept at most, some 200 bytes each. */
-const MAX_OWN = 2_000;
-/** News that wait for a holder at most; more would tell of the same crashes. */
-const MAX_NEWS = 2_000;
+const VERDICT_DELAY_MS = 1_000;
+/** Time until a new holder knows what its predecessor and the store know. */
+const NEW_HOLDER_DELAY_MS = 2 * VERDICT_DELAY_MS;
+/**
+ * How long records from the store are valid. While no holder is reachable, they
+ * are read every two seconds.
+ */
+const STORED_VALID_MS = 5_000;
+/** How long a crash is kept in order to report it to a new holder. */
+const CRASH_RETENTION_MS = 600_000;
+/** Maximum number of requests with local crashes, some 200 bytes each. */
+const MAX_LOCAL_REQUESTS = 2_000;
+/**
+ * Maximum length of each list in the unacknowledged report. More items would
+ * report the same crashes again.
+ */
+const MAX_REPORT_ITEMS = 2_000;
 
 /**
- * What an entry knows of requests that crash runners: the holder's word, and
- * what it has seen itself and the holder can't have judged yet.
+ * Tracks at an entry which requests crash runners. It combines the holder's
+ * list of suspects with local crashes that the holder can't have judged yet.
  */
 export class CrashSuspects {
-  /** Called when there is something to tell that shouldn't wait. */
+  /** Called when something should be reported without delay. */
   onReport: () => void = () => {};
-  /** By fingerprint, the one that crashed last at the end. */
-  private readonly own = new Map<string, OwnCrash[]>();
-  /** By fingerprint, until when it is in quarantine; undefined for a suspect. */
-  private told = new Map<string, number | undefined>();
-  /** The same, from the store and from former holders. */
-  private kept = new Map<string, number | undefined>();
-  private keptUntilMs = Number.POSITIVE_INFINITY;
-  private toldKnown: SuspectListVersion | undefined;
-  private toldAtMs = Number.NEGATIVE_INFINITY;
-  private unanswered: CrashReport = emptyNews();
-  private next: CrashReport = emptyNews();
+  /** By fingerprint, in the order of the last crash. */
+  private readonly localCrashes = new Map<string, LocalCrash[]>();
+  /** End of quarantine by fingerprint; undefined for a mere suspect. */
+  private holderSuspects = new Map<string, number | undefined>();
+  /** The same, as read from the store and received from former holders. */
+  private retainedSuspects = new Map<string, number | undefined>();
+  private retentionEndMs = Number.POSITIVE_INFINITY;
+  private listVersion: SuspectListVersion | undefined;
+  private listReceivedMs = Number.NEGATIVE_INFINITY;
+  private unacknowledged: CrashReport = emptyReport();
+  private queued: CrashReport = emptyReport();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Undefined for a request that runs like all others. */
+  /** Undefined for a request without restrictions. */
   verdictOf(fingerprint: string): CrashVerdict | undefined {
-    const known = this.knownOf(fingerprint);
+    const known = this.findSuspect(fingerprint);
     if (known) return known.untilMs === undefined ? 'suspect' : 'quarantined';
-    const crashes = this.own.get(fingerprint);
+    const crashes = this.localCrashes.get(fingerprint);
     const {suspectCrashes} = JUDGE_CRASHES_OPTIONS;
     if (!crashes || crashes.length < suspectCrashes) return undefined;
-    // Older ones the holder has judged, and found it to be none.
-    const unjudgedMs = this.toldAtMs - WORD_BACK_MS;
-    return crashes.at(-1)!.atMs > unjudgedMs ? 'suspect' : undefined;
+    // The holder has judged older crashes and doesn't list the request.
+    const judgedUntilMs = this.listReceivedMs - VERDICT_DELAY_MS;
+    return crashes.at(-1)!.atMs > judgedUntilMs ? 'suspect' : undefined;
   }
 
-  /** Until a request leaves quarantine, in ms. */
+  /** Remaining quarantine of a request, in ms; 0 if it isn't quarantined. */
   quarantinedForMs(fingerprint: string): number {
-    const untilMs = this.knownOf(fingerprint)?.untilMs ?? 0;
+    const untilMs = this.findSuspect(fingerprint)?.untilMs ?? 0;
     return Math.max(0, untilMs - this.clock.nowMs());
   }
 
-  /** The store says that they are in quarantine, each for so long, in ms. */
-  noteStoredQuarantine(forMs: ReadonlyMap<string, number>): void {
+  /** Adds quarantined requests from the store, with the ms left for each. */
+  noteStoredQuarantine(remainingMs: ReadonlyMap<string, number>): void {
     const nowMs = this.clock.nowMs();
-    for (const [fingerprint, leftMs] of forMs) {
-      this.kept.set(fingerprint, nowMs + leftMs);
+    for (const [fingerprint, leftMs] of remainingMs) {
+      this.retainedSuspects.set(fingerprint, nowMs + leftMs);
     }
-    this.keptUntilMs = Math.max(this.keptUntilMs, nowMs + STORED_HOLDS_MS);
-    const quarantined = [...forMs.keys()];
-    if (quarantined.length > 0) this.forward({...emptyNews(), quarantined});
+    this.retentionEndMs = Math.max(
+      this.retentionEndMs,
+      nowMs + STORED_VALID_MS,
+    );
+    const quarantined = [...remainingMs.keys()];
+    if (quarantined.length > 0) this.forward({...emptyReport(), quarantined});
   }
 
-  noteCrash({incarnation: life, fingerprints}: ObservedCrash): void {
+  noteCrash({crashId: crashId, fingerprints}: ObservedCrash): void {
     const atMs = this.clock.nowMs();
     for (const fingerprint of fingerprints) {
-      const crashes = this.own.get(fingerprint) ?? [];
-      crashes.push({life, atMs});
-      this.own.delete(fingerprint);
-      this.own.set(fingerprint, crashes);
+      const crashes = this.localCrashes.get(fingerprint) ?? [];
+      crashes.push({crashId, atMs});
+      this.localCrashes.delete(fingerprint);
+      this.localCrashes.set(fingerprint, crashes);
     }
-    this.forgetOld(atMs);
-    this.next.crashes.push({life, fingerprints: [...fingerprints]});
+    this.evictOld(atMs);
+    this.queued.crashes.push({
+      life: crashId,
+      fingerprints: [...fingerprints],
+    });
     this.onReport();
   }
 
-  /** A runner answered it whole: it crashes nothing. */
+  /** A runner answered the request completely, so it doesn't crash runners. */
   noteServed(fingerprint: string): void {
-    const wasSeen = this.own.delete(fingerprint);
-    const isSuspect = this.told.get(fingerprint) === undefined;
-    const wasTold = isSuspect && this.told.delete(fingerprint);
-    if (!wasTold && !wasSeen) return;
-    this.next.served.push(fingerprint);
+    const wasObserved = this.localCrashes.delete(fingerprint);
+    const isSuspect = this.holderSuspects.get(fingerprint) === undefined;
+    const wasListed = isSuspect && this.holderSuspects.delete(fingerprint);
+    if (!wasListed && !wasObserved) return;
+    this.queued.served.push(fingerprint);
     this.onReport();
   }
 
+  /** A trial ended without result; `ran` if a runner may have started it. */
   noteTrialOver(fingerprint: string, ran: boolean): void {
-    this.next.trialsOver.push({fingerprint, ran});
+    this.queued.trialsOver.push({fingerprint, ran});
     this.onReport();
   }
 
-  /** What another entry tells by way of this one. */
-  forward(news: CrashReport | undefined): void {
-    if (!news) return;
-    this.next = joined(this.next, news);
-    if (!isEmpty(news)) this.onReport();
+  /** Queues a report from another entry or the store for the holder. */
+  forward(report: CrashReport | undefined): void {
+    if (!report) return;
+    this.queued = mergeReports(this.queued, report);
+    if (!isEmpty(report)) this.onReport();
   }
 
   /**
-   * What is to be told with the next exchange, all until it is answered. Undefined
-   * where there is nothing, as nearly always: four exchanges a second then carry
-   * and check no empty lists.
+   * Report to send with the next exchange. Items are sent again until an
+   * exchange is answered. Undefined if there are none, which is nearly always
+   * the case, so that four exchanges a second don't carry and validate empty
+   * lists.
    */
   pendingReport(): CrashReport | undefined {
-    this.unanswered = joined(this.unanswered, this.next);
-    this.next = emptyNews();
-    return isEmpty(this.unanswered) ? undefined : this.unanswered;
+    this.unacknowledged = mergeReports(this.unacknowledged, this.queued);
+    this.queued = emptyReport();
+    return isEmpty(this.unacknowledged) ? undefined : this.unacknowledged;
   }
 
-  /** The last exchange was answered. */
+  /** Marks the last report as received. */
   acknowledge(): void {
-    this.unanswered = emptyNews();
+    this.unacknowledged = emptyReport();
   }
 
-  /** Whether anything was heard or seen of crashes. */
+  /** Whether any suspect or local crash is known. */
   get hasCrashData(): boolean {
-    return this.told.size > 0 || this.own.size > 0;
+    return this.holderSuspects.size > 0 || this.localCrashes.size > 0;
   }
 
   get knownVersion(): SuspectListVersion | undefined {
-    return this.toldKnown;
+    return this.listVersion;
   }
 
-  applyList(told: SuspectList | undefined): void {
-    if (!told) return;
-    const {epoch, revision, suspects} = told;
+  /** Applies the holder's list; undefined from releases that don't send it. */
+  applyList(list: SuspectList | undefined): void {
+    if (!list) return;
+    const {epoch, revision, suspects} = list;
     const nowMs = this.clock.nowMs();
-    if (this.toldKnown?.epoch !== epoch) this.meetNewHolder();
-    this.toldAtMs = nowMs;
-    this.toldKnown = {epoch, revision};
+    if (this.listVersion?.epoch !== epoch) this.handleNewHolder();
+    this.listReceivedMs = nowMs;
+    this.listVersion = {epoch, revision};
     if (!suspects) return;
-    this.told = new Map(
+    this.holderSuspects = new Map(
       suspects.map(({fingerprint, quarantinedMs}) => [
         fingerprint,
         quarantinedMs === undefined ? undefined : nowMs + quarantinedMs,
@@ -155,17 +170,20 @@
     );
   }
 
-  /** The holder's word for one that asks here; the list only if it is new. */
+  /**
+   * The holder's list for another entry; without `suspects` if it has this
+   * version.
+   */
   suspectListFor(
     known: SuspectListVersion | undefined,
   ): SuspectList | undefined {
-    if (!this.toldKnown) return undefined;
-    const {epoch, revision} = this.toldKnown;
+    if (!this.listVersion) return undefined;
+    const {epoch, revision} = this.listVersion;
     if (known?.epoch === epoch && known.revision === revision) {
       return {epoch, revision};
     }
     const nowMs = this.clock.nowMs();
-    const suspects = [...this.told].map(([fingerprint, untilMs]) => ({
+    const suspects = [...this.holderSuspects].map(([fingerprint, untilMs]) => ({
       fingerprint,
       quarantinedMs:
         untilMs === undefined ? undefined : Math.max(0, untilMs - nowMs),
@@ -173,41 +191,46 @@
     return {epoch, revision, suspects};
   }
 
-  /** Of the two words about it the one that has it in quarantine. */
-  private knownOf(fingerprint: string): {untilMs?: number} | undefined {
-    const isKept =
-      this.clock.nowMs() < this.keptUntilMs && this.kept.has(fingerprint);
-    const isTold = this.told.has(fingerprint);
-    if (!isKept && !isTold) return undefined;
-    const keptUntilMs = isKept ? this.kept.get(fingerprint) : undefined;
-    return {untilMs: this.told.get(fingerprint) ?? keptUntilMs};
+  /** If the lists differ, quarantine takes precedence over suspicion. */
+  private findSuspect(fingerprint: string): {untilMs?: number} | undefined {
+    const isRetained =
+      this.clock.nowMs() < this.retentionEndMs &&
+      this.retainedSuspects.has(fingerprint);
+    const isListed = this.holderSuspects.has(fingerprint);
+    if (!isRetained && !isListed) return undefined;
+    const retainedUntilMs = isRetained
+      ? this.retainedSuspects.get(fingerprint)
+      : undefined;
+    return {untilMs: this.holderSuspects.get(fingerprint) ?? retainedUntilMs};
   }
 
   /**
-   * A new holder has heard nothing of the time before. Untold, a request that
-   * crashed three runners would be free to crash three more with each change of
-   * the holder; and until it has heard, its word must not replace the last one.
+   * Reports everything known to a new holder, which starts without data.
+   * Otherwise, a request that crashed three runners could crash three more with
+   * each change of holder. The former list stays in force until the new holder
+   * has these reports.
    */
-  private meetNewHolder(): void {
+  private handleNewHolder(): void {
     const nowMs = this.clock.nowMs();
-    const former = nowMs < this.keptUntilMs ? [...this.kept] : [];
-    this.kept = new Map([...former, ...this.told]);
-    this.keptUntilMs = nowMs + HOLDER_LEARNS_MS;
+    const former =
+      nowMs < this.retentionEndMs ? [...this.retainedSuspects] : [];
+    this.retainedSuspects = new Map([...former, ...this.holderSuspects]);
+    this.retentionEndMs = nowMs + NEW_HOLDER_DELAY_MS;
     const crashes = new Map<string, string[]>();
-    for (const [fingerprint, seen] of this.own) {
-      for (const {life} of seen) {
-        const known = crashes.get(life);
+    for (const [fingerprint, observed] of this.localCrashes) {
+      for (const {crashId} of observed) {
+        const known = crashes.get(crashId);
         if (known) known.push(fingerprint);
-        else crashes.set(life, [fingerprint]);
+        else crashes.set(crashId, [fingerprint]);
       }
     }
-    const quarantined = [...this.told.entries()]
+    const quarantined = [...this.holderSuspects.entries()]
       .filter(([, untilMs]) => untilMs !== undefined)
       .map(([fingerprint]) => fingerprint);
-    this.next = joined(this.next, {
-      ...emptyNews(),
-      crashes: [...crashes].map(([life, fingerprints]) => ({
-        life,
+    this.queued = mergeReports(this.queued, {
+      ...emptyReport(),
+      crashes: [...crashes].map(([crashId, fingerprints]) => ({
+        life: crashId,
         fingerprints,
       })),
       quarantined,
@@ -215,30 +238,30 @@
     this.onReport();
   }
 
-  private forgetOld(nowMs: number): void {
-    for (const [fingerprint, crashes] of this.own) {
-      const isOld = nowMs - crashes.at(-1)!.atMs >= EVIDENCE_MS;
-      if (!isOld && this.own.size <= MAX_OWN) return;
-      this.own.delete(fingerprint);
+  private evictOld(nowMs: number): void {
+    for (const [fingerprint, crashes] of this.localCrashes) {
+      const isOld = nowMs - crashes.at(-1)!.atMs >= CRASH_RETENTION_MS;
+      if (!isOld && this.localCrashes.size <= MAX_LOCAL_REQUESTS) return;
+      this.localCrashes.delete(fingerprint);
     }
   }
 }
 
-function emptyNews(): CrashReport {
+function emptyReport(): CrashReport {
   return {crashes: [], served: [], trialsOver: [], quarantined: []};
 }
 
-function isEmpty(news: CrashReport): boolean {
-  return Object.values(news).every(list => list.length === 0);
+function isEmpty(report: CrashReport): boolean {
+  return Object.values(report).every(list => list.length === 0);
 }
 
-function joined(one: CrashReport, other: CrashReport): CrashReport {
-  const both = <T>(a: readonly T[], b: readonly T[]) =>
-    [...a, ...b].slice(-MAX_NEWS);
+function mergeReports(one: CrashReport, other: CrashReport): CrashReport {
+  const merge = <T>(a: readonly T[], b: readonly T[]) =>
+    [...a, ...b].slice(-MAX_REPORT_ITEMS);
   return {
-    crashes: both(one.crashes, other.crashes),
-    served: both(one.served, other.served),
-    trialsOver: both(one.trialsOver, other.trialsOver),
-    quarantined: both(one.quarantined, other.quarantined),
+    crashes: merge(one.crashes, other.crashes),
+    served: merge(one.served, other.served),
+    trialsOver: merge(one.trialsOver, other.trialsOver),
+    quarantined: merge(one.quarantined, other.quarantined),
   };
 }
--- a/packages/banyanfold-gateway/src/crashes/crashTrials.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashTrials.ts
@@ -2,7 +2,7 @@
 import {decideTrial, type TrialDecision} from '@banyanfold/decisions';
 import type {TrialInput} from './crashContract.js';
 
-/** What the ledger knows of a suspect that asks for a trial. */
+/** What the ledger knows about a suspect that requests a trial. */
 export interface SuspectFacts {
   crashes: number;
   isBeingJudged: boolean;
@@ -13,58 +13,58 @@
   untilMs: number;
 }
 
-/** A suspect that hasn't asked for a run for so long gives way to others. */
-const ASKING_MS = 500;
+/** A suspect that hasn't requested a trial for so long doesn't delay others. */
+const REQUEST_EXPIRY_MS = 500;
 
-/** The trials under way, at the holder, and who waits for one. */
+/** Tracks the running trials and the suspects that wait, at the holder. */
 export class CrashTrials {
-  private readonly underWay = new Map<string, Trial>();
-  private readonly askedMs = new Map<string, number>();
+  private readonly running = new Map<string, Trial>();
+  private readonly requestedMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Lets a suspect run, or says why it has to wait. */
+  /** Starts a trial of a suspect, or returns why it has to wait. */
   permit(
     {fingerprint, runnerIds, forMs}: TrialInput,
     facts: SuspectFacts,
     crashesOf: (fingerprint: string) => number,
   ): TrialDecision {
     const nowMs = this.clock.nowMs();
-    this.askedMs.set(fingerprint, nowMs);
+    this.requestedMs.set(fingerprint, nowMs);
     const decision = decideTrial({
       ...facts,
       fingerprint,
       runnerIds,
       underWay: new Map(
-        [...this.underWay].map(([id, {runnerId}]) => [id, runnerId]),
+        [...this.running].map(([id, {runnerId}]) => [id, runnerId]),
       ),
       othersCrashes: this.othersWaiting(fingerprint).map(crashesOf),
     });
     if (decision.kind === 'run') {
       const {runnerId} = decision;
-      this.underWay.set(fingerprint, {runnerId, untilMs: nowMs + forMs});
-      this.askedMs.delete(fingerprint);
+      this.running.set(fingerprint, {runnerId, untilMs: nowMs + forMs});
+      this.requestedMs.delete(fingerprint);
     }
     return decision;
   }
 
-  /** Whether this life of a runner is the one at which it is tried. */
-  isTrialRunAt(fingerprint: string, life: string): boolean {
-    const trial = this.underWay.get(fingerprint);
-    // A life is named by its runner and its start.
-    return trial !== undefined && life.startsWith(`${trial.runnerId}@`);
+  /** Whether the crash happened at the runner of the request's trial. */
+  isTrialCrash(fingerprint: string, crashId: string): boolean {
+    const trial = this.running.get(fingerprint);
+    // A crash is identified by the runner and the start time of its process.
+    return trial !== undefined && crashId.startsWith(`${trial.runnerId}@`);
   }
 
-  /** @returns whether a trial of it was under way. */
+  /** @returns whether a trial of the request was running. */
   end(fingerprint: string): boolean {
-    this.askedMs.delete(fingerprint);
-    return this.underWay.delete(fingerprint);
+    this.requestedMs.delete(fingerprint);
+    return this.running.delete(fingerprint);
   }
 
-  /** Ends those of which nothing was heard in their time. */
+  /** Ends the trials that exceeded their maximum duration without a result. */
   expireOverdue(): string[] {
     const nowMs = this.clock.nowMs();
-    const overdue = [...this.underWay]
+    const overdue = [...this.running]
       .filter(([, {untilMs}]) => nowMs > untilMs)
       .map(([fingerprint]) => fingerprint);
     for (const fingerprint of overdue) this.end(fingerprint);
@@ -73,11 +73,11 @@
 
   private othersWaiting(fingerprint: string): string[] {
     const nowMs = this.clock.nowMs();
-    for (const [other, atMs] of this.askedMs) {
-      if (nowMs - atMs > ASKING_MS) this.askedMs.delete(other);
+    for (const [other, atMs] of this.requestedMs) {
+      if (nowMs - atMs > REQUEST_EXPIRY_MS) this.requestedMs.delete(other);
     }
-    return [...this.askedMs.keys()].filter(
-      other => other !== fingerprint && !this.underWay.has(other),
+    return [...this.requestedMs.keys()].filter(
+      other => other !== fingerprint && !this.running.has(other),
     );
   }
 }
--- a/packages/banyanfold-gateway/src/crashes/probeListener.ts
+++ b/packages/banyanfold-gateway/src/crashes/probeListener.ts
@@ -1,13 +1,13 @@
 import net from 'node:net';
 
-/** Whether something listens at an address; unknown if nothing answers at all. */
+/** Whether a process listens at an address; `unknown` if nothing answers. */
 export type ListenerState = 'listening' | 'refused' | 'unknown';
 
 /**
- * Opens a connection and closes it at once. A runner that has crashed refuses it
- * within a round trip, seconds before its registration lapses.
+ * Opens a connection and closes it immediately. The address of a crashed runner
+ * refuses it within one round trip, seconds before its registration expires.
  *
- * @param address host and port, joined by a colon.
+ * @param address host and port, separated by a colon.
  * @example
  * await probeListener('127.0.0.1:9', 400) // 'refused' where nothing listens
  */
--- a/packages/banyanfold-gateway/src/crashes/quarantineKeeper.ts
+++ b/packages/banyanfold-gateway/src/crashes/quarantineKeeper.ts
@@ -10,53 +10,53 @@
   store: QuarantineStore;
   lease: LeaseSource;
   suspects: CrashSuspects;
-  /** Whether a holder's word was heard lately. */
+  /** Whether state from a holder arrived recently. */
   isHolderReachable(): boolean;
 }
 
-/** One that could not be read or written is tried again so soon. */
-const TRY_INTERVAL_MS = 500;
-/** While no holder tells, the store is read this often. */
-const UNTOLD_INTERVAL_MS = 2_000;
-/** Records that are kept at most; the oldest make way. */
+/** Interval between retries of a failed read or write. */
+const RETRY_INTERVAL_MS = 500;
+/** Interval between reads of the store while no holder is reachable. */
+const READ_INTERVAL_MS = 2_000;
+/** Maximum number of records; the oldest are dropped. */
 const MAX_RECORDS = 500;
 
 /**
- * Keeps the quarantine in the store: the holder of orders writes it, and each
- * process reads it at its start. Without it, a request that crashed three runners
- * would be free again when all processes end at once, and crash as many more.
+ * Persists the quarantined requests in the store. The holder writes them, and
+ * each process reads them when it starts. Without this, after all processes
+ * ended at once, a request that crashed three runners could crash three more.
  */
 export class QuarantineKeeper {
-  /** By fingerprint, when it was put in; as in the store. */
+  /** Content of the store: time of the quarantine by fingerprint. */
   private records = new Map<string, number>();
   private readonly unsaved = new Map<string, number>();
-  private askedMs = Number.NEGATIVE_INFINITY;
+  private lastLoadMs = Number.NEGATIVE_INFINITY;
   private loadedTerm: number | undefined;
   private isBusy = false;
-  private isLost = false;
-  private stopTrying: () => void = () => {};
+  private hasFailed = false;
+  private stopSync: () => void = () => {};
 
   constructor(private readonly options: QuarantineKeeperOptions) {}
 
   start(): void {
     const {clock, store} = this.options;
-    store.onReset(() => this.writeAgain());
-    this.stopTrying = repeatEvery(clock, TRY_INTERVAL_MS, () => this.sync());
+    store.onReset(() => this.rewriteRecords());
+    this.stopSync = repeatEvery(clock, RETRY_INTERVAL_MS, () => this.sync());
     this.sync();
   }
 
   stop(): void {
-    this.stopTrying();
+    this.stopSync();
   }
 
-  /** A request was put into quarantine. */
+  /** Adds a request that has been quarantined. */
   add(fingerprint: string): void {
     this.unsaved.set(fingerprint, this.options.clock.wallMs());
     this.sync();
   }
 
-  /** What one process has written, it writes again; the others only read. */
-  private writeAgain(): void {
+  /** Writes the known records again, if this process is the writer. */
+  private rewriteRecords(): void {
     if (!this.options.lease.current().owns) return;
     for (const [fingerprint, atMs] of this.records) {
       this.unsaved.set(fingerprint, atMs);
@@ -67,26 +67,27 @@
   private sync(): void {
     const {owns, term} = this.options.lease.current();
     if (this.isBusy) return;
-    if (this.isUntold) return this.begin(this.load(term));
-    // One that comes to hold the lease knows what others have written since.
+    if (this.shouldRead) return this.run(this.load(term));
+    // A new holder first loads what former holders have written.
     const isLoaded = owns
       ? this.loadedTerm === term
       : this.loadedTerm !== undefined;
     if (isLoaded && (!owns || this.unsaved.size === 0)) return;
-    this.begin(isLoaded ? this.save() : this.load(term));
+    this.run(isLoaded ? this.save() : this.load(term));
   }
 
   /**
-   * Cut off from its peers, an entry may still reach the store and the runners. It
-   * reads then what the others have found, if it knows of crashes at all.
+   * An entry without a reachable holder may still reach the store and the
+   * runners. If it knows of any crash, it reads from the store what the others
+   * have found.
    */
-  private get isUntold(): boolean {
-    const {clock, suspects, isHolderReachable: isHolderHeard} = this.options;
-    if (isHolderHeard() || !suspects.hasCrashData) return false;
-    return clock.nowMs() - this.askedMs >= UNTOLD_INTERVAL_MS;
+  private get shouldRead(): boolean {
+    const {clock, suspects, isHolderReachable} = this.options;
+    if (isHolderReachable() || !suspects.hasCrashData) return false;
+    return clock.nowMs() - this.lastLoadMs >= READ_INTERVAL_MS;
   }
 
-  private begin(work: Promise<void>): void {
+  private run(work: Promise<void>): void {
     this.isBusy = true;
     void work.finally(() => {
       this.isBusy = false;
@@ -95,55 +96,55 @@
 
   private async load(term: number): Promise<void> {
     const {store, suspects, logger, clock} = this.options;
-    this.askedMs = clock.nowMs();
+    this.lastLoadMs = clock.nowMs();
     const loaded = await store.load();
-    if (loaded.isErr()) return this.lost(loaded.error);
-    this.isLost = false;
+    if (loaded.isErr()) return this.noteFailure(loaded.error);
+    this.hasFailed = false;
     this.loadedTerm = term;
     this.records = new Map(loaded.value.map(r => [r.fingerprint, r.atMs]));
-    const forMs = new Map<string, number>();
+    const remainingMs = new Map<string, number>();
     for (const [fingerprint, atMs] of this.records) {
       const leftMs = atMs + QUARANTINE_MS - clock.wallMs();
-      if (leftMs > 0) forMs.set(fingerprint, leftMs);
+      if (leftMs > 0) remainingMs.set(fingerprint, leftMs);
     }
-    suspects.noteStoredQuarantine(forMs);
-    logger.info('quarantine-loaded', {requests: forMs.size});
+    suspects.noteStoredQuarantine(remainingMs);
+    logger.info('quarantine-loaded', {requests: remainingMs.size});
   }
 
   private async save(): Promise<void> {
     const {store} = this.options;
-    const put = [...this.unsaved].map(([fingerprint, atMs]) => ({
+    const added = [...this.unsaved].map(([fingerprint, atMs]) => ({
       fingerprint,
       atMs,
     }));
-    const dropped = this.surplus(put);
-    const saved = await store.update(put, dropped);
-    if (saved.isErr()) return this.lost(saved.error);
-    this.isLost = false;
-    for (const {fingerprint, atMs} of put) {
+    const dropped = this.recordsToDrop(added);
+    const saved = await store.update(added, dropped);
+    if (saved.isErr()) return this.noteFailure(saved.error);
+    this.hasFailed = false;
+    for (const {fingerprint, atMs} of added) {
       this.records.set(fingerprint, atMs);
       this.unsaved.delete(fingerprint);
     }
     for (const fingerprint of dropped) this.records.delete(fingerprint);
   }
 
-  /** Records that are out of date or too many, the oldest first. */
-  private surplus(put: readonly QuarantineRecord[]): string[] {
-    const added = new Set(put.map(({fingerprint}) => fingerprint));
+  /** Records to drop: expired ones, and the oldest above the maximum. */
+  private recordsToDrop(added: readonly QuarantineRecord[]): string[] {
+    const addedIds = new Set(added.map(({fingerprint}) => fingerprint));
     const oldestMs = this.options.clock.wallMs() - QUARANTINE_MS;
     const kept = [...this.records]
-      .filter(([fingerprint]) => !added.has(fingerprint))
+      .filter(([fingerprint]) => !addedIds.has(fingerprint))
       .sort(([, a], [, b]) => a - b);
-    const tooMany = kept.length + added.size - MAX_RECORDS;
+    const tooMany = kept.length + addedIds.size - MAX_RECORDS;
     return kept
       .filter(([, atMs], i) => atMs < oldestMs || i < tooMany)
       .map(([fingerprint]) => fingerprint);
   }
 
-  private lost({message}: BanyanfoldError): void {
-    if (!this.isLost) {
-      this.options.logger.warn('quarantine-unkept', {error: message});
+  private noteFailure({message}: BanyanfoldError): void {
+    if (!this.hasFailed) {
+      this.options.logger.warn('quarantine-store-failed', {error: message});
     }
-    this.isLost = true;
+    this.hasFailed = true;
   }
 }
