--- a/packages/banyanfold-protocol/src/__tests__/control.test.ts
+++ b/packages/banyanfold-protocol/src/__tests__/control.test.ts
@@ -81,13 +81,13 @@
 };
 
 describe('createControlHandler', () => {
-  it.each(['internal', 'operator'])('lets the %s key in', async key => {
+  it.each(['internal', 'operator'])('accepts the %s key', async key => {
     const clientOf = await serve();
     expect(await clientOf(key).report.query()).toEqual(REPORT);
   });
 
   it.each(['', 'Internal', 'internals', 'wrong'])(
-    'keeps out the key "%s"',
+    'rejects the key "%s"',
     async key => {
       const clientOf = await serve();
       const client = clientOf(key);
@@ -97,9 +97,10 @@
     },
   );
 
-  // A report that lacks a field would be read as zeros by an entry, and a
-  // runner without load or copies would get all requests or none.
-  it('gives an error for a report that is not one', async () => {
+  // An entry would read a missing field as zero. A runner that seems to have no
+  // load would then receive all requests, and one that seems to have no copies
+  // none.
+  it('answers with an error if a report is incomplete', async () => {
     const {copies: _copies, ...partial} = REPORT;
     const report = async () => partial as AgentReport;
     const clientOf = await serve({report});
@@ -118,14 +119,15 @@
     expect(calls).toEqual([expected]);
   });
 
-  it('brings a proposal as it was made', async () => {
+  it('sends a proposal unchanged', async () => {
     const clientOf = await serve();
     await clientOf('internal').propose.mutate(PROPOSAL);
     expect(calls).toEqual([PROPOSAL]);
   });
 
-  // A peer that hangs must cost its caller a bounded time, not a place for ever.
-  it('gives up on a peer that hangs', async () => {
+  // A call to a peer that never answers must end, or its caller would wait
+  // forever.
+  it('times out on a peer that never answers', async () => {
     await serve({report: () => new Promise(() => {})});
     const {port} = server.address() as AddressInfo;
     const host = '127.0.0.1';
@@ -136,7 +138,7 @@
 });
 
 describe('entryStatusSchema', () => {
-  it('reads the status of an entry that counts no misses yet', () => {
+  it('accepts a status from a release without missed counts', () => {
     const status = entryStatusSchema.parse({
       vmId: 'entry-1',
       failureDomain: 'a',
--- a/packages/banyanfold-protocol/src/__tests__/fetchMisses.test.ts
+++ b/packages/banyanfold-protocol/src/__tests__/fetchMisses.test.ts
@@ -23,7 +23,7 @@
   server.close();
 });
 
-/** Serves a router that has not all that an entry's has today. */
+/** Serves a router that lacks procedures of the current entry router. */
 async function serve(partial: unknown) {
   const router = partial as EntryRouter;
   server = http.createServer(createControlHandler({router, keys: ['key']}));
@@ -35,14 +35,15 @@
 }
 
 describe('fetchMisses', () => {
-  // Entries are replaced one by one. A peer of the earlier release answers the
-  // planner's new question with an error; its misses must be heard all the same.
-  it('asks an entry of an earlier release for its status', async () => {
+  // During a rolling upgrade a peer of the earlier release answers the
+  // planner's new procedure with an error. Its misses must be counted
+  // nevertheless.
+  it('fetches the status from an entry of an earlier release', async () => {
     const client = await serve(t.router({status}));
     expect(await fetchMisses(client)).toEqual(MISSED);
   });
 
-  it('does not ask an entry in trouble for more', async () => {
+  it('makes no second request after an internal error of an entry', async () => {
     const client = await serve(t.router({status, misses: failing}));
     await expect(fetchMisses(client)).rejects.toThrow('out of order');
   });
--- a/packages/banyanfold-protocol/src/__tests__/reportChanges.test.ts
+++ b/packages/banyanfold-protocol/src/__tests__/reportChanges.test.ts
@@ -47,16 +47,16 @@
     sequence: 4,
   }) as ReportChanges;
 
-  it('makes changes whole with the report held', () => {
+  it('applies changes to the held report', () => {
     expect(applyReportChanges(held, changes)).toEqual(reportOf(5));
   });
 
-  // Each of them would leave a copy list in the view that was never true.
+  // Applying any of these would leave a list of copies that never existed.
   it.each<[string, AgentReport | undefined, Partial<ReportChanges>]>([
-    ['nothing is held', undefined, {}],
-    ['another process made them', held, {incarnation: 4}],
-    ['the report they build on is newer', held, {sinceSequence: 5}],
-    ['they were made before', held, {sequence: 4}],
+    ['no report is held', undefined, {}],
+    ['another process created them', held, {incarnation: 4}],
+    ['they are relative to a newer report', held, {sinceSequence: 5}],
+    ['they are no newer than the held report', held, {sequence: 4}],
     ['the number of copies differs', held, {copyIdleMs: []}],
   ])('drops changes if %s', (_name, known, change) => {
     expect(applyReportChanges(known, {...changes, ...change})).toBeUndefined();
@@ -64,8 +64,9 @@
 });
 
 describe('ReportHistory', () => {
-  // Only a fault or a stranger names one; changes since it would be made up.
-  it('gives the whole report to one who names a report never made', () => {
+  // Only a faulty or foreign client sends such a cursor; there are no valid
+  // changes.
+  it('returns the whole report for a cursor of a future report', () => {
     const history = new ReportHistory();
     history.observe(reportOf(4));
     const cursor = {incarnation: 3, sequence: 6};
@@ -83,7 +84,7 @@
 
   type Router = Parameters<typeof createControlHandler>[0]['router'];
 
-  /** A router made by trpc here has a type of its own, and the same shape. */
+  /** Routers created in tests differ in type, but not in shape. */
   async function clientOf(anyRouter: unknown) {
     const router = anyRouter as Router;
     server = http.createServer(createControlHandler({router, keys: ['k']}));
@@ -96,14 +97,14 @@
 
   const unused = () => Promise.reject(new Error('not served here'));
 
-  it('gets the whole report at first, and then what changed', async () => {
+  it('fetches the whole report first, then changes', async () => {
     const history = new ReportHistory();
     let sequence = 0;
-    const make = () => reportOf(++sequence);
+    const createReport = () => reportOf(++sequence);
     const client = await clientOf(
       createAgentRouter({
-        report: async () => make(),
-        reportSince: async cursor => history.answer(make(), cursor),
+        report: async () => createReport(),
+        reportSince: async cursor => history.answer(createReport(), cursor),
         seal: unused,
         propose: unused,
         drain: unused,
@@ -117,9 +118,10 @@
     expect(await client.report.query()).toEqual(reportOf(3));
   });
 
-  // While a release goes out, some agents are older than the entries. An entry
-  // that took their refusal for a failure would have no copies to route to.
-  it('gets the whole report of an agent that is older', async () => {
+  // During a rolling upgrade some agents are older than the entries. An entry
+  // that treated the missing procedure as a failure would have no copies to
+  // route to.
+  it('fetches the whole report from an agent of an earlier release', async () => {
     const t = initTRPC.create();
     const client = await clientOf(
       t.router({report: t.procedure.query(() => reportOf(9))}),
--- a/packages/banyanfold-protocol/src/agentContract.ts
+++ b/packages/banyanfold-protocol/src/agentContract.ts
@@ -1,7 +1,7 @@
 import {initTRPC} from '@trpc/server';
 import {z} from 'zod';
 
-/** How a copy stands in the agent's ledger. */
+/** States of a copy in the agent's ledger. */
 export const COPY_STATES = [
   'reserved',
   'held',
@@ -16,25 +16,25 @@
   state: z.enum(COPY_STATES),
   /** The id of the load order that made this copy. */
   copyId: z.string(),
-  /** Since when no request used it. */
+  /** Time since a request last used it. */
   idleMs: z.number(),
 });
 
-/** Small enough to ride on every answer. */
+/** The load of an agent, small enough for a header of every answer. */
 export const loadDigestSchema = z.object({
   incarnation: z.number(),
-  /** Rises with every digest that the agent makes. */
+  /** Increases with every digest that the agent creates. */
   sequence: z.number(),
   running: z.number(),
   queued: z.number(),
   kvUsedBytes: z.number(),
   kvCapacityBytes: z.number(),
-  /** Estimated wait to a first token for a request that came now. */
+  /** Estimated time to first token of a request that arrives now. */
   queueDelayMs: z.number(),
   leaving: z.boolean(),
 });
 
-/** What an agent tells entries. */
+/** An agent's report to entries. */
 export const agentReportSchema = loadDigestSchema.extend({
   vmId: z.string(),
   failureDomain: z.string(),
@@ -43,32 +43,32 @@
   configVersion: z.number(),
   memoryCapacityBytes: z.number(),
   memoryFreeBytes: z.number(),
-  /** Requests the runner runs at once; earlier releases leave it out. */
+  /** Maximum concurrent requests of the runner; earlier releases omit it. */
   maxRunning: z.number().optional(),
   checksFencing: z.boolean(),
   copies: z.array(copySchema),
   services: z.array(z.string()),
-  /** Demand met here since the agent started, by artifact. */
+  /** Requests served since the agent started, by artifact. */
   servedCount: z.record(z.string(), z.number()),
-  /** Prefix hashes believed cached, a bounded number. */
+  /** Hashes of prefixes that are probably cached, limited in number. */
   cachedPrefixes: z.array(z.string()),
 });
 
-/** The report that an entry holds. */
+/** Identifies the report that an entry holds. */
 export const reportCursorSchema = z.object({
   incarnation: z.number(),
   sequence: z.number(),
 });
 
-/** A report without its lists, for an entry that holds them already. */
+/** A report without the lists that the entry already holds. */
 export const reportChangesSchema = agentReportSchema
   .omit({copies: true, services: true, servedCount: true, cachedPrefixes: true})
   .extend({
-    /** Copies and services are those of the report with this sequence. */
+    /** The copies and services equal those of the report with this sequence. */
     sinceSequence: z.number(),
-    /** In the order of its copies. */
+    /** In the order of that report's copies. */
     copyIdleMs: z.array(z.number()),
-    /** The whole counts of the artifacts whose count changed. */
+    /** New total counts of the artifacts whose count changed. */
     servedSince: z.record(z.string(), z.number()),
     prefixesAdded: z.array(z.string()),
     prefixesGone: z.array(z.string()),
@@ -80,21 +80,21 @@
 
 export const proposalSchema = z.object({
   proposalId: z.string(),
-  /** Offset of the planner's claim; an older planner is refused. */
+  /** Offset of the planner's claim in the log; older planners are refused. */
   plannerEpoch: z.number(),
   kind: z.enum(['load', 'retire', 'set-role']),
   artifact: z.string().default(''),
   bytes: z.number().default(0),
   runnerRole: z.string().default(''),
-  /** For retire: the copies elsewhere that it relies on. */
+  /** For `retire`: the copies at other agents on which it relies. */
   reliesOnCopyIds: z.array(z.string()).default([]),
-  /** For retire: when the planner saw those copies, by the log's clock. */
+  /** For `retire`: when the planner saw those copies, by the log's clock. */
   viewedAtMs: z.number().optional(),
 });
 
 export const proposalResultSchema = z.object({
   accepted: z.boolean(),
-  /** Why not, in a word: `no-memory`, `old-planner`, `not-sole`, … */
+  /** Code of the reason, such as `no-memory` or `old-planner`. */
   reason: z.string(),
 });
 
@@ -107,27 +107,28 @@
 export type Proposal = z.infer<typeof proposalSchema>;
 export type ProposalResult = z.infer<typeof proposalResultSchema>;
 
-/** What an agent implements for the calls of entries and operators. */
+/** Handlers that an agent implements for entries and operators. */
 export interface AgentHandlers {
   report(): Promise<AgentReport>;
-  /** What changed since the report that the caller holds, if it holds one. */
+  /** Returns the changes since the caller's report, or the whole report. */
   reportSince?(
     cursor: ReportCursor | undefined,
   ): Promise<AgentReport | ReportChanges>;
   /**
-   * Stops the attempt when it runs, and keeps it from starting when it hasn't.
-   * `incarnation` is the one the attempt was addressed to; only that one can
-   * answer `never-started`, for an earlier one may have run it.
+   * Stops an attempt that is running, and prevents one that hasn't started from
+   * starting. `incarnation` is the one that the attempt was addressed to. Only
+   * that incarnation can answer `never-started`, because an earlier one may
+   * have run the attempt.
    */
   seal(attemptId: string, incarnation?: number): Promise<SealResult>;
   propose(proposal: Proposal): Promise<ProposalResult>;
-  /** Starts to leave: no new work, what runs is finished. */
+  /** Starts draining: no new requests are accepted, running ones finish. */
   drain(): Promise<{running: number}>;
 }
 
 const t = initTRPC.create();
 
-/** Mounts an agent's handlers as a trpc router. */
+/** Creates the tRPC router for an agent's handlers. */
 export function createAgentRouter(handlers: AgentHandlers) {
   return t.router({
     report: t.procedure
--- a/packages/banyanfold-protocol/src/clients.ts
+++ b/packages/banyanfold-protocol/src/clients.ts
@@ -10,7 +10,7 @@
 import type {EntryRouter} from './entryContract.js';
 import {PATHS} from './headers.js';
 
-/** How to reach a peer's control interface. */
+/** Address and credentials of a peer's control interface. */
 export interface ControlClientOptions {
   host: string;
   port: number;
@@ -23,7 +23,7 @@
 
 function controlLink(options: ControlClientOptions) {
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-  const send = (url: unknown, init: unknown) =>
+  const fetchWithTimeout = (url: unknown, init: unknown) =>
     fetch(String(url), {
       ...(init as object),
       dispatcher: options.dispatcher,
@@ -32,12 +32,12 @@
   return httpLink({
     url: `http://${options.host}:${options.port}${PATHS.trpc}`,
     headers: {authorization: `Bearer ${options.internalKey}`},
-    fetch: send as unknown as typeof globalThis.fetch,
+    fetch: fetchWithTimeout as unknown as typeof globalThis.fetch,
   });
 }
 
 /**
- * A client of an agent's control interface.
+ * Creates a client for an agent's control interface.
  *
  * @example await createAgentClient({host, port, internalKey}).report.query()
  */
@@ -45,7 +45,7 @@
   return createTRPCClient<AgentRouter>({links: [controlLink(options)]});
 }
 
-/** A client of an entry's control interface. */
+/** Creates a client for an entry's control interface. */
 export function createEntryClient(options: ControlClientOptions) {
   return createTRPCClient<EntryRouter>({links: [controlLink(options)]});
 }
@@ -54,9 +54,10 @@
 export type EntryClient = ReturnType<typeof createEntryClient>;
 
 /**
- * Asks an agent what changed since the report held; the whole report comes if
- * none is held. An agent of an earlier release doesn't know the question and
- * is asked for the whole report, so that a release can go out in any order.
+ * Fetches the changes since the held report, or the whole report if none is
+ * held. An agent of an earlier release lacks this procedure, so its whole
+ * report is fetched instead. A release can therefore be rolled out in any
+ * order.
  *
  * @example const answer = await fetchReport(client, agent.reportCursor())
  */
@@ -72,7 +73,7 @@
   }
 }
 
-/** Whether a peer of an earlier release refused a question it doesn't know. */
+/** Whether a call failed because the peer's release lacks the procedure. */
 export function isUnknownProcedure(error: unknown): boolean {
   if (!(error instanceof TRPCClientError)) return false;
   const data: unknown = error.data;
--- a/packages/banyanfold-protocol/src/controlServer.ts
+++ b/packages/banyanfold-protocol/src/controlServer.ts
@@ -8,15 +8,16 @@
 const MAX_CONTROL_BODY_BYTES = 1_048_576;
 const UNAUTHORIZED = 401;
 
-/** What a control interface is served from. */
+/** Router and accepted keys of a control interface. */
 export interface ControlServerOptions {
   router: AgentRouter | EntryRouter;
-  /** Any of these keys is let in. */
+  /** Keys that grant access. */
   keys: readonly string[];
 }
 
 /**
- * Serves a router at `/trpc` to those who have one of the keys.
+ * Creates a request listener that serves a router at `/trpc` to clients with
+ * one of the keys. Others get status 401.
  *
  * @example
  * const control = createControlHandler({router, keys: [internalKey]});
@@ -31,13 +32,13 @@
     maxBodySize: MAX_CONTROL_BODY_BYTES,
   });
   return (req: IncomingMessage, res: ServerResponse) => {
-    if (hasKey(req, options.keys)) return handle(req, res);
+    if (isAuthorized(req, options.keys)) return handle(req, res);
     res.writeHead(UNAUTHORIZED, {'content-type': 'application/json'});
     res.end('{"error":{"message":"unauthorized"}}');
   };
 }
 
-function hasKey(req: IncomingMessage, keys: readonly string[]): boolean {
+function isAuthorized(req: IncomingMessage, keys: readonly string[]): boolean {
   const given = bearerKey(req.headers.authorization);
   if (given === undefined) return false;
   let found = false;
--- a/packages/banyanfold-protocol/src/entryContract.ts
+++ b/packages/banyanfold-protocol/src/entryContract.ts
@@ -1,7 +1,7 @@
 import {initTRPC} from '@trpc/server';
 import {z} from 'zod';
 
-/** Requests refused for lack of a copy since the start, by artifact. */
+/** Requests refused since the start because no copy existed, by artifact. */
 export const missedCountSchema = z.record(z.string(), z.number());
 
 export const entryStatusSchema = z.object({
@@ -26,7 +26,7 @@
   ),
 });
 
-/** The state of the configuration fold, for a peer that starts. */
+/** The configuration with its position in the log, for a starting peer. */
 export const configSnapshotSchema = z.object({
   version: z.number(),
   foldedThrough: z.number(),
@@ -55,10 +55,10 @@
 export type ExplainInput = z.infer<typeof explainInputSchema>;
 export type ExplainResult = z.infer<typeof explainResultSchema>;
 
-/** What an entry implements for the calls of peers and operators. */
+/** Handlers that an entry implements for peers and operators. */
 export interface EntryHandlers {
   status(): Promise<EntryStatus>;
-  /** The part of the status that the planner asks each peer for each round. */
+  /** The part of the status that the planner fetches from peers each round. */
   misses(): Promise<MissedCount>;
   configSnapshot(): Promise<ConfigSnapshot>;
   drain(): Promise<{openRequests: number}>;
@@ -67,7 +67,7 @@
 
 const t = initTRPC.create();
 
-/** Mounts an entry's handlers as a trpc router. */
+/** Creates the tRPC router for an entry's handlers. */
 export function createEntryRouter(handlers: EntryHandlers) {
   return t.router({
     status: t.procedure
--- a/packages/banyanfold-protocol/src/fetchMisses.ts
+++ b/packages/banyanfold-protocol/src/fetchMisses.ts
@@ -2,9 +2,9 @@
 import type {MissedCount} from './entryContract.js';
 
 /**
- * Asks an entry for its misses. One of an earlier release doesn't know the
- * question, and is asked for its status: else the planner would not hear, until
- * all entries are replaced, of what only callers of that one ask for.
+ * Fetches the misses of an entry. An entry of an earlier release lacks this
+ * procedure, so its status is fetched instead. Otherwise, during an upgrade,
+ * the planner would miss the demand of callers that only that entry serves.
  *
  * @example meter.noteMisses(vmId, await fetchMisses(client))
  */
--- a/packages/banyanfold-protocol/src/headers.ts
+++ b/packages/banyanfold-protocol/src/headers.ts
@@ -1,4 +1,4 @@
-/** Header names between entry and agent, and towards callers. */
+/** Names of headers between entries and agents, and in answers to callers. */
 export const HEADERS = {
   attemptId: 'x-banyanfold-attempt-id',
   requestId: 'x-banyanfold-request-id',
@@ -10,25 +10,25 @@
   promptTokens: 'x-banyanfold-prompt-tokens',
   maxTokens: 'x-banyanfold-max-tokens',
   prefixHash: 'x-banyanfold-prefix-hash',
-  /** KV cache that one token of this model takes, for the reservation. */
+  /** Bytes of KV cache for each token of the model, for the reservation. */
   kvBytesPerToken: 'x-banyanfold-kv-bytes',
   load: 'x-banyanfold-load',
   outcome: 'x-banyanfold-outcome',
   lastEventId: 'last-event-id',
   retryAfter: 'retry-after',
-  /** The same in milliseconds; the usual client libraries read it first. */
+  /** `retry-after` in ms; common client libraries read it first. */
   retryAfterMs: 'retry-after-ms',
-  /** `false` tells the usual client libraries not to repeat the request. */
+  /** `false` prevents common client libraries from retrying the request. */
   shouldRetry: 'x-should-retry',
   desk: 'x-banyanfold-desk',
   idempotencyKey: 'idempotency-key',
 } as const;
 
-/** Paths that processes of the system serve to each other. */
+/** Paths of internal interfaces. */
 export const PATHS = {
   attempt: '/attempt/',
   trpc: '/trpc',
 } as const;
 
-/** Whether a refused request had any effect. */
+/** Whether a refused request may have been executed. */
 export type Outcome = 'not-run' | 'unknown';
--- a/packages/banyanfold-protocol/src/reportChanges.ts
+++ b/packages/banyanfold-protocol/src/reportChanges.ts
@@ -4,47 +4,50 @@
   ReportCursor,
 } from './agentContract.js';
 
-/** Gone prefixes that are remembered for entries that still have them. */
-const MAX_REMEMBERED_GONE = 1024;
+/** Maximum number of removed prefixes kept for entries that still list them. */
+const MAX_REMOVED_PREFIXES = 1024;
 
 /**
- * Works out, at an agent, what changed in its reports since a given one.
+ * Computes, at an agent, the changes to its reports since a given one.
  *
- * It keeps nothing about the entries that ask: each names the report that it
- * holds, so a lost answer, a question asked twice or another entry's question
- * can't make it believe that an entry has what it hasn't.
+ * It keeps no state about entries: each request names the report that the entry
+ * holds. So a lost answer, a repeated request or another entry's request can't
+ * lead to a wrong assumption about what an entry holds.
  *
  * @example history.answer(report, {incarnation: 7, sequence: 41})
  */
 export class ReportHistory {
   private incarnation: number | undefined;
-  private wholeKey = '';
-  /** Reports before this sequence can't be brought up to date by changes. */
+  private listsKey = '';
+  /** Reports before this sequence can't be updated with changes. */
   private baseSequence = 0;
   private lastSequence = 0;
-  private readonly served = new Map<string, {count: number; at: number}>();
-  private readonly cachedAt = new Map<string, number>();
-  /** In the order of their going. */
-  private readonly goneAt = new Map<string, number>();
+  private readonly servedCounts = new Map<
+    string,
+    {count: number; at: number}
+  >();
+  private readonly addedAt = new Map<string, number>();
+  /** In the order of removal. */
+  private readonly removedAt = new Map<string, number>();
 
-  /** Takes each report that the agent makes, before any is handed out. */
+  /** Records a report; to be called for each one before it is sent. */
   observe(report: AgentReport): void {
-    if (report.incarnation !== this.incarnation) this.restart(report);
+    if (report.incarnation !== this.incarnation) this.reset(report);
     this.lastSequence = report.sequence;
-    const wholeKey = wholeKeyOf(report);
-    if (wholeKey !== this.wholeKey) this.baseSequence = report.sequence;
-    this.wholeKey = wholeKey;
+    const listsKey = listsKeyOf(report);
+    if (listsKey !== this.listsKey) this.baseSequence = report.sequence;
+    this.listsKey = listsKey;
     this.observeServed(report);
     this.observePrefixes(report);
   }
 
-  /** The report just observed: whole, or what changed since the cursor. */
+  /** Returns the changes since the cursor, or the whole report. */
   answer(
     report: AgentReport,
     cursor: ReportCursor | undefined,
   ): AgentReport | ReportChanges {
     this.observe(report);
-    if (!cursor || !this.covers(cursor)) return report;
+    if (!cursor || !this.canSendChanges(cursor)) return report;
     const {copies, services: _, servedCount, cachedPrefixes, ...rest} = report;
     const since = cursor.sequence;
     return {
@@ -53,26 +56,27 @@
       copyIdleMs: copies.map(({idleMs}) => idleMs),
       servedSince: Object.fromEntries(
         Object.entries(servedCount).filter(
-          ([artifact]) => this.served.get(artifact)!.at > since,
+          ([artifact]) => this.servedCounts.get(artifact)!.at > since,
         ),
       ),
       prefixesAdded: cachedPrefixes.filter(
-        prefix => this.cachedAt.get(prefix)! > since,
+        prefix => this.addedAt.get(prefix)! > since,
       ),
-      prefixesGone: [...this.goneAt.keys()].filter(
-        prefix => this.goneAt.get(prefix)! > since,
+      prefixesGone: [...this.removedAt.keys()].filter(
+        prefix => this.removedAt.get(prefix)! > since,
       ),
     };
   }
 
   /**
-   * An entry that holds a report of another process, or one from before the
-   * copies last changed, would go on with a stale list that looks fresh: it
-   * gets the whole report. Incarnations are offsets of the log, or drawn at
-   * random while it is out, so that no two processes share one; and within one
-   * process the sequence never falls. So equal cursors mean the same report.
+   * Whether changes suffice for an entry with this cursor. If its report is
+   * from another process, or older than the last change to the copies, the
+   * entry would keep a stale list that looks current, so it gets the whole
+   * report. Equal cursors denote the same report: incarnations are offsets of
+   * the log, or random while the log is unavailable, so no two processes share
+   * one, and within a process the sequence never decreases.
    */
-  private covers({incarnation, sequence}: ReportCursor): boolean {
+  private canSendChanges({incarnation, sequence}: ReportCursor): boolean {
     return (
       incarnation === this.incarnation &&
       sequence >= this.baseSequence &&
@@ -80,46 +84,47 @@
     );
   }
 
-  private restart(report: AgentReport): void {
+  private reset(report: AgentReport): void {
     this.incarnation = report.incarnation;
     this.baseSequence = report.sequence;
-    this.served.clear();
-    this.cachedAt.clear();
-    this.goneAt.clear();
+    this.servedCounts.clear();
+    this.addedAt.clear();
+    this.removedAt.clear();
   }
 
   private observeServed({servedCount, sequence}: AgentReport): void {
     for (const [artifact, count] of Object.entries(servedCount)) {
-      if (this.served.get(artifact)?.count === count) continue;
-      this.served.set(artifact, {count, at: sequence});
+      if (this.servedCounts.get(artifact)?.count === count) continue;
+      this.servedCounts.set(artifact, {count, at: sequence});
     }
   }
 
   private observePrefixes({cachedPrefixes, sequence}: AgentReport): void {
     const cached = new Set(cachedPrefixes);
-    for (const prefix of this.cachedAt.keys()) {
+    for (const prefix of this.addedAt.keys()) {
       if (cached.has(prefix)) continue;
-      this.cachedAt.delete(prefix);
-      this.goneAt.set(prefix, sequence);
+      this.addedAt.delete(prefix);
+      this.removedAt.set(prefix, sequence);
     }
     for (const prefix of cached) {
-      if (this.cachedAt.has(prefix)) continue;
-      this.cachedAt.set(prefix, sequence);
-      this.goneAt.delete(prefix);
+      if (this.addedAt.has(prefix)) continue;
+      this.addedAt.set(prefix, sequence);
+      this.removedAt.delete(prefix);
     }
-    this.forgetGone();
+    this.evictRemoved();
   }
 
-  /** An entry that misses a forgotten one gets the whole report. */
-  private forgetGone(): void {
-    for (const [prefix, sequence] of this.goneAt) {
-      if (this.goneAt.size <= MAX_REMEMBERED_GONE) return;
-      this.goneAt.delete(prefix);
+  /** Entries that hold an older report than an evicted one get it whole. */
+  private evictRemoved(): void {
+    for (const [prefix, sequence] of this.removedAt) {
+      if (this.removedAt.size <= MAX_REMOVED_PREFIXES) return;
+      this.removedAt.delete(prefix);
       this.baseSequence = Math.max(this.baseSequence, sequence);
     }
   }
 }
 
+/** Whether an answer contains changes instead of a whole report. */
 export function isReportChanges(
   answer: AgentReport | ReportChanges,
 ): answer is ReportChanges {
@@ -127,14 +132,15 @@
 }
 
 /**
- * The whole report that an answer stands for, or undefined if the entry holds
- * nothing that it fits on.
+ * Returns the whole report that an answer represents, or undefined if it can't
+ * be applied to the held report.
  *
- * Changes since a report newer than the one held skip what came between them;
- * a copy that went in that time would stay believed in. Changes since the held
- * one or an older one say that the copies are still those of that report, so
- * they are those of the held one as well. Whatever doesn't fit is dropped, and
- * the next question names what is really held, so the next answer mends it.
+ * Changes since a newer report than the held one would skip what happened
+ * between the two, and a copy removed in that time would remain listed. Changes
+ * since the held report or an older one imply that the copies are unchanged
+ * since then, so those of the held report are current. Answers that can't be
+ * applied are dropped. The next request names the report that is actually held,
+ * so its answer can be applied.
  */
 export function applyReportChanges(
   held: AgentReport | undefined,
@@ -155,13 +161,13 @@
   } = answer;
   return {
     ...rest,
-    copies: held.copies.map((copy, nth) => ({
+    copies: held.copies.map((copy, i) => ({
       ...copy,
-      idleMs: copyIdleMs[nth]!,
+      idleMs: copyIdleMs[i]!,
     })),
     services: held.services,
     servedCount: {...held.servedCount, ...servedSince},
-    cachedPrefixes: changePrefixes(
+    cachedPrefixes: applyPrefixChanges(
       held.cachedPrefixes,
       prefixesAdded,
       prefixesGone,
@@ -169,19 +175,19 @@
   };
 }
 
-/** The same list if nothing changed, so that its reader can tell. */
-function changePrefixes(
+/** Returns the same array if nothing changed, so that identity shows it. */
+function applyPrefixChanges(
   held: string[],
   added: string[],
-  gone: string[],
+  removed: string[],
 ): string[] {
-  if (added.length + gone.length === 0) return held;
-  const dropped = new Set([...added, ...gone]);
+  if (added.length + removed.length === 0) return held;
+  const dropped = new Set([...added, ...removed]);
   return [...added, ...held.filter(prefix => !dropped.has(prefix))];
 }
 
-/** What makes the whole report necessary when it changes. */
-function wholeKeyOf({copies, services}: AgentReport): string {
-  const lasting = copies.map(({idleMs: _idleMs, ...copy}) => copy);
-  return JSON.stringify([lasting, services]);
+/** Key of the lists whose changes require a whole report. */
+function listsKeyOf({copies, services}: AgentReport): string {
+  const stable = copies.map(({idleMs: _idleMs, ...copy}) => copy);
+  return JSON.stringify([stable, services]);
 }
