--- a/packages/banyanfold-gateway/src/__tests__/crashDetector.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashDetector.test.ts
@@ -18,7 +18,7 @@
 
 let clock: VirtualClock;
 let view: FleetView;
-let watch: CrashDetector;
+let detector: CrashDetector;
 let crashes: ObservedCrash[];
 let probes: number;
 let listener: ListenerState;
@@ -31,7 +31,7 @@
   crashes = [];
   probes = 0;
   listener = 'refused';
-  watch = new CrashDetector({
+  detector = new CrashDetector({
     clock,
     logger,
     metrics: new Metrics(),
@@ -45,11 +45,11 @@
 });
 
 describe('CrashDetector', () => {
-  it('tells all requests that a crashed runner cut off, with one probe', async () => {
-    watch.noteConnectionLost(RUNNER, 'f1');
-    watch.noteConnectionLost(RUNNER, 'f2');
+  it('reports all requests that a crashed runner aborted, with one probe', async () => {
+    detector.noteConnectionLost(RUNNER, 'f1');
+    detector.noteConnectionLost(RUNNER, 'f2');
     await clock.advance(0);
-    watch.noteConnectionLost(RUNNER, 'f3');
+    detector.noteConnectionLost(RUNNER, 'f3');
     expect(probes).toBe(1);
     expect(crashes).toEqual([
       {crashId: 'r1@5', fingerprints: ['f1', 'f2']},
@@ -57,35 +57,35 @@
     ]);
   });
 
-  it('takes a runner that still listens for alive', async () => {
+  it('reports no crash of a runner that still listens', async () => {
     listener = 'listening';
-    watch.noteConnectionLost(RUNNER, 'f1');
+    detector.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(0);
     view.onRemoval('r1');
     expect(crashes).toEqual([]);
   });
 
-  it('leaves out what a runner cuts off that leaves as planned', async () => {
-    // Requests that a leaving runner cut off would be under suspicion: it ends
-    // at its time whatever it runs, and its address refuses connections then.
+  it('ignores requests aborted by a runner that leaves as planned', async () => {
+    // Otherwise, these requests become suspects: a leaving runner ends on time
+    // whatever it runs, and its address refuses connections afterwards.
     view.onRegistration({...RUNNER, leaving: true, heartbeatNumber: 2});
-    watch.noteConnectionLost(RUNNER, 'f1');
+    detector.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(0);
     expect(crashes).toEqual([]);
   });
 
-  it('asks the registry where nothing answers at all', async () => {
+  it('relies on the registry if the probe gets no answer', async () => {
     listener = 'unknown';
-    watch.noteConnectionLost(RUNNER, 'f1');
+    detector.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(1_000);
     expect(crashes).toEqual([]);
     view.onRemoval('r1');
     expect(crashes).toEqual([{crashId: 'r1@5', fingerprints: ['f1']}]);
   });
 
-  it('believes the registry of a new life, but not of one long after', async () => {
+  it('ignores a new process start long after a connection was lost', async () => {
     listener = 'unknown';
-    watch.noteConnectionLost(RUNNER, 'f1');
+    detector.noteConnectionLost(RUNNER, 'f1');
     await clock.advance(20_000);
     view.onRegistration({...RUNNER, bornMs: 90_000, heartbeatNumber: 1});
     expect(crashes).toEqual([]);
--- a/packages/banyanfold-gateway/src/__tests__/crashLedger.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashLedger.test.ts
@@ -3,7 +3,7 @@
 import type {CrashReport} from '../crashes/crashContract.js';
 import {CrashLedger, QUARANTINE_MS} from '../crashes/crashLedger.js';
 
-const SETTLED_MS = 1_000;
+const FULLY_REPORTED_MS = 1_000;
 
 let clock: VirtualClock;
 let ledger: CrashLedger;
@@ -21,22 +21,25 @@
   });
 });
 
-function note(news: Partial<CrashReport>): void {
+function report(fields: Partial<CrashReport>): void {
   ledger.addReport({
     crashes: [],
     served: [],
     trialsOver: [],
     quarantined: [],
-    ...news,
+    ...fields,
   });
 }
 
-async function crash(life: string, ...fingerprints: string[]): Promise<void> {
-  note({crashes: [{life, fingerprints}]});
-  await clock.advance(SETTLED_MS);
+async function reportCrash(
+  crashId: string,
+  ...fingerprints: string[]
+): Promise<void> {
+  report({crashes: [{life: crashId, fingerprints}]});
+  await clock.advance(FULLY_REPORTED_MS);
 }
 
-/** Fingerprints of suspects, those in quarantine with a mark. */
+/** Fingerprints of suspects; quarantined ones end with `!`. */
 function suspects(): string[] {
   const {suspects: rows = []} = ledger.suspectListFor(undefined);
   return rows.map(({fingerprint, quarantinedMs}) =>
@@ -44,142 +47,149 @@
   );
 }
 
-/** It runs by itself, and the runner crashes; `beside` ran there too. */
-async function crashAlone(
+/**
+ * Runs a trial in which the runner crashes; `others` were at that runner too.
+ */
+async function crashInTrial(
   fingerprint: string,
-  ...beside: string[]
+  ...others: string[]
 ): Promise<void> {
-  const {runnerId} = ask(fingerprint);
-  await crash(`${runnerId}@${clock.nowMs()}`, fingerprint, ...beside);
+  const {runnerId} = requestTrial(fingerprint);
+  await reportCrash(`${runnerId}@${clock.nowMs()}`, fingerprint, ...others);
 }
 
-function ask(fingerprint: string, runnerIds = ['r1', 'r2']) {
+function requestTrial(fingerprint: string, runnerIds = ['r1', 'r2']) {
   return ledger.permitTrial({fingerprint, runnerIds, forMs: 5_000});
 }
 
 describe('CrashLedger', () => {
-  it('puts together what several entries tell of one crash', async () => {
-    await crash('l1', 'a', 'b');
-    note({crashes: [{life: 'l2', fingerprints: ['a']}]});
-    await crash('l2', 'b');
-    // The same news again, from an entry that got no answer.
-    await crash('l2', 'b');
+  it('merges the reports of several entries on one crash', async () => {
+    await reportCrash('l1', 'a', 'b');
+    report({crashes: [{life: 'l2', fingerprints: ['a']}]});
+    await reportCrash('l2', 'b');
+    // The same report again, from an entry that got no answer.
+    await reportCrash('l2', 'b');
     expect(suspects()).toEqual(['a', 'b']);
     expect(quarantined).toEqual([]);
   });
 
-  it('tells the one to blame from those beside it by one run each', async () => {
-    // Three runners crashed under two requests of one model. Both are tried, by
-    // themselves; one is answered, and the other crashes a fourth runner.
-    for (const life of ['l1', 'l2', 'l3']) await crash(life, 'a', 'b');
+  it('identifies the cause among concurrent requests by one trial each', async () => {
+    // Three runners crashed with the same two requests of one model. In
+    // separate trials one of them is answered, and the other crashes a fourth
+    // runner.
+    for (const id of ['l1', 'l2', 'l3']) await reportCrash(id, 'a', 'b');
     expect(suspects()).toEqual(['a', 'b']);
-    expect(ask('a')).toEqual({runnerId: 'r1', reason: 'alone'});
-    expect(ask('a')).toEqual({reason: 'under-way'});
-    expect(ask('b')).toEqual({runnerId: 'r2', reason: 'alone'});
+    expect(requestTrial('a')).toEqual({runnerId: 'r1', reason: 'alone'});
+    expect(requestTrial('a')).toEqual({reason: 'under-way'});
+    expect(requestTrial('b')).toEqual({runnerId: 'r2', reason: 'alone'});
     expect(suspects()).toEqual(['a', 'b']);
-    note({served: ['b']});
+    report({served: ['b']});
     expect(suspects()).toEqual(['a']);
-    await crash('r1@1', 'a');
+    await reportCrash('r1@1', 'a');
     expect(suspects()).toEqual(['a!']);
     expect(quarantined).toEqual(['a']);
-    expect(ask('a')).toEqual({reason: 'quarantined'});
+    expect(requestTrial('a')).toEqual({reason: 'quarantined'});
   });
 
-  it('blames nothing for runners that crash together, whatever many sent', async () => {
-    // Callers of one popular lookup get 503 for an hour. Three runners lose power
-    // at once while each has it, which is no sign that it does anything to them;
-    // only a crash in a run by itself is.
-    const crashes = ['l1', 'l2', 'l3'].map(life => ({
-      life,
-      fingerprints: ['popular', `${life}-only`],
+  it('quarantines no request because runners crash at the same time', async () => {
+    // Otherwise, callers of a popular request get 503 for an hour. Three
+    // runners lose power at once while each runs it, which doesn't show that it
+    // caused the crashes; only a crash in a trial does.
+    const crashes = ['l1', 'l2', 'l3'].map(crashId => ({
+      life: crashId,
+      fingerprints: ['popular', `${crashId}-only`],
     }));
-    note({crashes});
-    await clock.advance(SETTLED_MS);
+    report({crashes});
+    await clock.advance(FULLY_REPORTED_MS);
     expect(suspects()).toEqual(['popular']);
-    expect(ask('popular').runnerId).toBe('r1');
-    note({served: ['popular']});
+    expect(requestTrial('popular').runnerId).toBe('r1');
+    report({served: ['popular']});
     expect(suspects()).toEqual([]);
   });
 
-  it('judges one under which very many runners crashed', async () => {
-    // Sent by all entries in the same moment it crashes twenty runners before any
-    // of them hears of another; it must not be tried for ever after.
-    for (let i = 0; i < 20; i++) await crash(`l${i}`, 'a');
-    await crashAlone('a');
+  it('quarantines a request with more crashes than a row holds', async () => {
+    // All entries send the request at the same moment, and it crashes twenty
+    // runners before any entry learns of another crash. Trials must not repeat
+    // forever.
+    for (let i = 0; i < 20; i++) await reportCrash(`l${i}`, 'a');
+    await crashInTrial('a');
     expect(suspects()).toEqual(['a!']);
   });
 
-  it('clears all that ran beside it with the verdict', async () => {
-    for (const life of ['l1', 'l2']) await crash(life, 'a', 'b', 'c');
+  it('clears the requests that ran with a quarantined one', async () => {
+    for (const id of ['l1', 'l2']) await reportCrash(id, 'a', 'b', 'c');
     expect(suspects()).toEqual(['a', 'b', 'c']);
-    await crashAlone('a', 'fresh');
+    await crashInTrial('a', 'fresh');
     expect(suspects()).toEqual(['a!']);
   });
 
-  it('lets nothing run on a crash by itself that is not judged yet', () => {
-    const lives = ['l1', 'l2'];
-    note({crashes: lives.map(life => ({life, fingerprints: ['a']}))});
-    expect(ask('a').runnerId).toBe('r1');
-    note({crashes: [{life: 'r1@1', fingerprints: ['a']}]});
-    expect(ask('a')).toEqual({reason: 'being-judged'});
+  it('permits no trial while a crash in a trial is not judged yet', () => {
+    const crashIds = ['l1', 'l2'];
+    report({
+      crashes: crashIds.map(crashId => ({life: crashId, fingerprints: ['a']})),
+    });
+    expect(requestTrial('a').runnerId).toBe('r1');
+    report({crashes: [{life: 'r1@1', fingerprints: ['a']}]});
+    expect(requestTrial('a')).toEqual({reason: 'being-judged'});
   });
 
-  it('ends trials of which nothing is heard, and believes two of them', async () => {
-    // The entry that had it under trial ended, twice; nobody would tell of it.
-    for (const life of ['l1', 'l2', 'l3']) await crash(life, 'a', 'b');
+  it('expires trials without a result, and quarantines after two', async () => {
+    // Twice, the entry that ran the trial ended, so no result is reported.
+    for (const id of ['l1', 'l2', 'l3']) await reportCrash(id, 'a', 'b');
     for (let i = 0; i < 2; i++) {
-      expect(ask('a').runnerId).toBe('r1');
+      expect(requestTrial('a').runnerId).toBe('r1');
       await clock.advance(6_000);
     }
-    expect(ask('a')).toEqual({reason: 'quarantined'});
+    expect(requestTrial('a')).toEqual({reason: 'quarantined'});
   });
 
-  it('counts no trial that never reached a runner', async () => {
-    for (const life of ['l1', 'l2', 'l3']) await crash(life, 'a', 'b');
+  it('does not count trials that never reached a runner', async () => {
+    for (const id of ['l1', 'l2', 'l3']) await reportCrash(id, 'a', 'b');
     for (let i = 0; i < 5; i++) {
-      expect(ask('a').runnerId).toBe('r1');
-      note({trialsOver: [{fingerprint: 'a', ran: false}]});
+      expect(requestTrial('a').runnerId).toBe('r1');
+      report({trialsOver: [{fingerprint: 'a', ran: false}]});
     }
     expect(suspects()).toEqual(['a', 'b']);
   });
 
-  it('tells the list only to those that have not heard it', async () => {
-    for (const life of ['l1', 'l2']) await crash(life, 'a');
+  it('sends the list only to entries that lack the current revision', async () => {
+    for (const id of ['l1', 'l2']) await reportCrash(id, 'a');
     const {epoch, revision, suspects: rows} = ledger.suspectListFor(undefined);
     expect(rows).toHaveLength(1);
     expect(ledger.suspectListFor({epoch, revision}).suspects).toBeUndefined();
     expect(
       ledger.suspectListFor({epoch: 'h0', revision}).suspects,
     ).toHaveLength(1);
-    await crashAlone('a');
+    await crashInTrial('a');
     expect(ledger.suspectListFor({epoch, revision}).suspects).toHaveLength(1);
   });
 
-  it('takes over what another holder has found', () => {
-    note({quarantined: ['a']});
-    note({served: ['a']});
+  it('adopts the quarantine of a former holder', () => {
+    report({quarantined: ['a']});
+    report({served: ['a']});
     expect(suspects()).toEqual(['a!']);
   });
 
-  it('tries it once more when its quarantine ends', async () => {
-    // A new version of the runners may run it by now. If not, one runner crashes.
-    for (const life of ['l1', 'l2']) await crash(life, 'a');
-    await crashAlone('a');
+  it('permits another trial when a quarantine ends', async () => {
+    // A new version of the runners may handle it. If not, one more runner
+    // crashes.
+    for (const id of ['l1', 'l2']) await reportCrash(id, 'a');
+    await crashInTrial('a');
     expect(suspects()).toEqual(['a!']);
     await clock.advance(QUARANTINE_MS);
     expect(suspects()).toEqual(['a']);
-    await crashAlone('a');
+    await crashInTrial('a');
     expect(suspects()).toEqual(['a!']);
   });
 
-  it('stays bounded, and forgets first what says least', async () => {
-    for (const life of ['l1', 'l2']) await crash(life, 'guilty');
-    await crashAlone('guilty');
+  it('is bounded, and evicts the rows with the fewest crashes first', async () => {
+    for (const id of ['l1', 'l2']) await reportCrash(id, 'crasher');
+    await crashInTrial('crasher');
     for (let i = 0; i < 30; i++) {
       const fingerprints = Array.from({length: 200}, (_, j) => `f${i}-${j}`);
-      await crash(`m${i}`, ...fingerprints);
+      await reportCrash(`m${i}`, ...fingerprints);
     }
-    await crash('m0', 'f0-0');
-    expect(suspects()).toEqual(['guilty!']);
+    await reportCrash('m0', 'f0-0');
+    expect(suspects()).toEqual(['crasher!']);
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/crashSuspects.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/crashSuspects.test.ts
@@ -11,7 +11,7 @@
   suspects = new CrashSuspects(clock);
 });
 
-function told(revision: number, ...rows: string[]): SuspectList {
+function suspectList(revision: number, ...rows: string[]): SuspectList {
   return {
     epoch: 'h1',
     revision,
@@ -23,30 +23,31 @@
 }
 
 describe('CrashSuspects', () => {
-  it('goes by what it saw itself until the holder has judged it', async () => {
-    // The next sending comes 20 ms after the second crash; the holder's word takes
-    // longer. A second later that word holds, whatever was seen here.
+  it('uses local crashes until the holder has judged them', async () => {
+    // The request may be sent again 20 ms after the second crash, before the
+    // holder's verdict arrives. One second later that verdict overrides local
+    // crashes.
     suspects.noteCrash({crashId: 'l1', fingerprints: ['a', 'b']});
     expect(suspects.verdictOf('a')).toBeUndefined();
     suspects.noteCrash({crashId: 'l2', fingerprints: ['a']});
     expect(suspects.verdictOf('a')).toBe('suspect');
     expect(suspects.verdictOf('b')).toBeUndefined();
-    suspects.applyList(told(1));
+    suspects.applyList(suspectList(1));
     expect(suspects.verdictOf('a')).toBe('suspect');
     await clock.advance(1_500);
-    suspects.applyList(told(2));
+    suspects.applyList(suspectList(2));
     expect(suspects.verdictOf('a')).toBeUndefined();
   });
 
-  it('goes by the last word while no holder is heard', async () => {
-    suspects.applyList(told(1, 'a!', 'b'));
+  it('uses the last list while no holder is reachable', async () => {
+    suspects.applyList(suspectList(1, 'a!', 'b'));
     await clock.advance(30_000);
     expect(suspects.verdictOf('a')).toBe('quarantined');
     expect(suspects.quarantinedForMs('a')).toBe(30_000);
     expect(suspects.verdictOf('b')).toBe('suspect');
   });
 
-  it('tells all until it is answered, also for others', () => {
+  it('reports crashes, also those of other entries, until acknowledged', () => {
     suspects.noteCrash({crashId: 'l1', fingerprints: ['a']});
     const first = suspects.pendingReport();
     suspects.forward({
@@ -61,40 +62,41 @@
     expect(first?.crashes).toEqual([{life: 'l1', fingerprints: ['a']}]);
   });
 
-  it('tells a new holder what the last one knew', async () => {
-    // Three runners crashed under a request before the holder was lost. Untold,
-    // the next holder would let it crash three more, and so would its word before
-    // it has heard.
+  it('reports to a new holder what its predecessor knew', async () => {
+    // A request crashed three runners before the holder was lost. If this isn't
+    // reported, the next holder lets it crash three more. The same happens if
+    // the next holder's list applies before that holder has received the
+    // reports.
     suspects.noteCrash({crashId: 'l1', fingerprints: ['a']});
-    suspects.applyList(told(1, 'guilty!', 'mere'));
+    suspects.applyList(suspectList(1, 'crasher!', 'suspect'));
     suspects.pendingReport();
     suspects.acknowledge();
-    suspects.applyList({...told(1), epoch: 'h2'});
+    suspects.applyList({...suspectList(1), epoch: 'h2'});
     expect(suspects.pendingReport()).toEqual({
       crashes: [{life: 'l1', fingerprints: ['a']}],
       served: [],
       trialsOver: [],
-      quarantined: ['guilty'],
+      quarantined: ['crasher'],
     });
-    expect(suspects.verdictOf('guilty')).toBe('quarantined');
+    expect(suspects.verdictOf('crasher')).toBe('quarantined');
     await clock.advance(3_000);
-    expect(suspects.verdictOf('guilty')).toBeUndefined();
+    expect(suspects.verdictOf('crasher')).toBeUndefined();
   });
 
-  it('goes by the store from its start on, until a holder has heard', async () => {
+  it('uses the stored quarantine until a holder has received it', async () => {
     suspects.noteStoredQuarantine(new Map([['a', 60_000]]));
     await clock.advance(20_000);
     expect(suspects.verdictOf('a')).toBe('quarantined');
     expect(suspects.quarantinedForMs('a')).toBe(40_000);
     expect(suspects.pendingReport()?.quarantined).toEqual(['a']);
-    suspects.applyList(told(1));
+    suspects.applyList(suspectList(1));
     expect(suspects.verdictOf('a')).toBe('quarantined');
-    suspects.applyList(told(2, 'a!'));
+    suspects.applyList(suspectList(2, 'a!'));
     await clock.advance(3_000);
     expect(suspects.verdictOf('a')).toBe('quarantined');
   });
 
-  it('tells of an answer only where there was a suspicion', () => {
+  it('reports an answer only for a request with crashes', () => {
     suspects.noteServed('a');
     expect(suspects.pendingReport()).toBeUndefined();
     suspects.noteCrash({crashId: 'l1', fingerprints: ['a']});
@@ -103,10 +105,12 @@
     expect(suspects.pendingReport()?.served).toEqual(['a']);
   });
 
-  it('passes the word on, the list only where it is new', () => {
+  it('forwards the list only to entries that lack its revision', () => {
     expect(suspects.suspectListFor(undefined)).toBeUndefined();
-    suspects.applyList(told(4, 'a!', 'b'));
-    expect(suspects.suspectListFor(undefined)).toEqual(told(4, 'a!', 'b'));
+    suspects.applyList(suspectList(4, 'a!', 'b'));
+    expect(suspects.suspectListFor(undefined)).toEqual(
+      suspectList(4, 'a!', 'b'),
+    );
     const known = {epoch: 'h1', revision: 4};
     expect(suspects.suspectListFor(known)).toEqual(known);
   });
--- a/packages/banyanfold-gateway/src/__tests__/holderLink.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/holderLink.test.ts
@@ -19,7 +19,7 @@
 import {FleetView} from '../view/fleetView.js';
 
 const SELF = {address: 'e2:7', failureDomain: 'a', processorShare: 0.5};
-const TOLD: ExchangeOutput = {
+const OUTPUT: ExchangeOutput = {
   kind: 'told',
   holder: SELF.address,
   isOrdering: true,
@@ -47,7 +47,7 @@
 let confirmedAtMs: number[];
 let demand: DemandMeter;
 
-/** A link whose own process has the lease, so that nothing goes over a network. */
+/** A link in the process that owns the lease, so no network is used. */
 function startLink(): HolderLink {
   const logger = new MemoryLogger();
   const view = new FleetView(clock, logger);
@@ -104,7 +104,7 @@
 
 beforeEach(() => {
   clock = new VirtualClock();
-  answer = TOLD;
+  answer = OUTPUT;
   isHolder = true;
   isVacant = false;
   standbyCalls = [];
@@ -114,12 +114,12 @@
 });
 
 describe('HolderLink', () => {
-  it('stays out of the group after its start, in fleets of any size', async () => {
-    // Callers get adapters all the while: a process that joined when it heard of a
-    // holder took the lease from one that had just begun to order, and waited for
-    // another 3 s before it ordered itself.
+  it('does not join the lease group after its start, in fleets of any size', async () => {
+    // Adapters must stay available. A process that joined as soon as it learned
+    // of a holder took the lease from one that had just started to give orders,
+    // and gave no orders itself for another 3 s.
     for (const entries of [3, 20]) {
-      answer = {...TOLD, entries};
+      answer = {...OUTPUT, entries};
       const link = startLink();
       await clock.advance(2_000);
       expect(standbyCalls).toEqual([]);
@@ -127,9 +127,10 @@
     }
   });
 
-  it('takes a vacant lease only when its turn comes', async () => {
-    // Nobody has the lease. Would all entries join at once, the store would deal
-    // it anew with each, and every one of them would have to wait to order.
+  it('tries to acquire a vacant lease only after the standbys before it', async () => {
+    // If all entries joined at once, the store would reassign the lease with
+    // each of them, and each new holder would have to wait before it gives
+    // orders.
     const link = startLink();
     await clock.advance(500);
     standbyCalls = [];
@@ -144,41 +145,43 @@
     link.stop();
   });
 
-  // Guards against a version that counts as the newest because runners were read.
-  it('confirms the configuration only by when the holder read it', async () => {
-    answer = {...TOLD, configReadAgeMs: 4_000};
+  // Otherwise a version counts as current because the runners were read
+  // recently.
+  it('confirms the configuration only by the time of its last read', async () => {
+    answer = {...OUTPUT, configReadAgeMs: 4_000};
     const link = startLink();
     await clock.advance(5_000);
     expect(Math.max(...confirmedAtMs)).toBeLessThanOrEqual(1_000);
     link.stop();
   });
 
-  // Guards against long polls while the holder itself reads no configuration.
-  it('relies on no holder that has not read the configuration lately', async () => {
+  // Otherwise this process polls rarely while the holder can't read the
+  // configuration.
+  it('does not rely on a holder without a recent read of the configuration', async () => {
     isHolder = false;
     const link = startLink();
     await clock.advance(500);
     expect(link.isRelayed).toBe(true);
-    answer = {...TOLD, configReadAgeMs: 4_000};
+    answer = {...OUTPUT, configReadAgeMs: 4_000};
     await clock.advance(500);
     expect(link.isRelayed).toBe(false);
     link.stop();
   });
 
-  it('sends again what no holder has taken', async () => {
+  it('resends a batch that no holder has acknowledged', async () => {
     const link = startLink();
     await clock.advance(300);
     answer = {kind: 'not-holder'};
     const arrival = {model: 'm1', promptTokens: 10, maxOutputTokens: 1};
     demand.noteArrival({...arrival, urgency: 1});
     await clock.advance(600);
-    answer = TOLD;
+    answer = OUTPUT;
     await clock.advance(600);
-    const taken = inputs.at(-2)!.batch;
-    const asked = inputs.filter(({batch}) => batch.demand.length > 0);
-    expect(new Set(asked.map(({batch}) => batch.batchId)).size).toBe(1);
-    expect(asked.length).toBeGreaterThan(1);
-    expect(taken.demand).toEqual([]);
+    const acknowledged = inputs.at(-2)!.batch;
+    const withDemand = inputs.filter(({batch}) => batch.demand.length > 0);
+    expect(new Set(withDemand.map(({batch}) => batch.batchId)).size).toBe(1);
+    expect(withDemand.length).toBeGreaterThan(1);
+    expect(acknowledged.demand).toEqual([]);
     link.stop();
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/peerClient.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/peerClient.test.ts
@@ -20,7 +20,7 @@
 let address: string;
 let onConnection: (socket: net.Socket) => void;
 const uncaught: unknown[] = [];
-const note = (thrown: unknown) => uncaught.push(thrown);
+const recordError = (thrown: unknown) => uncaught.push(thrown);
 
 beforeEach(async () => {
   server = net.createServer(socket => {
@@ -32,35 +32,35 @@
   });
   address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   uncaught.length = 0;
-  process.on('uncaughtException', note);
-  process.on('unhandledRejection', note);
+  process.on('uncaughtException', recordError);
+  process.on('unhandledRejection', recordError);
 });
 
 afterEach(() => {
-  process.off('uncaughtException', note);
-  process.off('unhandledRejection', note);
+  process.off('uncaughtException', recordError);
+  process.off('unhandledRejection', recordError);
   server.close();
 });
 
-/** Until the events of a closed connection have come. */
+/** Waits for the events of a closed connection. */
 async function settle(): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, TIMEOUT_MS));
 }
 
 describe('createPeerClient', () => {
-  // All requests of an entry are cut off: its process ends with an error that
-  // nobody handles. Its peer was suspended, or its machine gone; the connection
-  // is given up before, or just as, it comes about.
+  // An unhandled error would end the process and abort all its requests. It
+  // arises if a connection is abandoned while it is being opened, because the
+  // peer is suspended or its machine has gone.
   const peers: Record<string, (socket: net.Socket) => void> = {
     'never answers': () => {},
     'resets the connection': socket => socket.resetAndDestroy(),
-    'answers with something else': socket =>
+    'answers with an HTTP error': socket =>
       socket.end('HTTP/1.1 500 no\r\n\r\n'),
-    'answers no protocol': socket => socket.end('\u0000\u0001\r\n\r\n'),
+    'does not answer with HTTP': socket => socket.end('\u0000\u0001\r\n\r\n'),
   };
-  for (const [what, act] of Object.entries(peers)) {
-    it(`survives a peer that ${what}`, async () => {
-      onConnection = act;
+  for (const [description, respond] of Object.entries(peers)) {
+    it(`survives a peer that ${description}`, async () => {
+      onConnection = respond;
       const client = createPeerClient(address, TIMEOUT_MS, TIMEOUT_MS);
       await expect(client.exchange(INPUT)).rejects.toThrow();
       client.close();
@@ -69,12 +69,12 @@
     });
   }
 
-  it('survives being closed while its connection comes about', async () => {
+  it('survives being closed while its connection is being opened', async () => {
     onConnection = () => {};
     const client = createPeerClient(address, TIMEOUT_MS, TIMEOUT_MS);
-    const asked = client.exchange(INPUT).catch((thrown: unknown) => thrown);
+    const outcome = client.exchange(INPUT).catch((thrown: unknown) => thrown);
     client.close();
-    expect(await asked).toBeInstanceOf(Error);
+    expect(await outcome).toBeInstanceOf(Error);
     await settle();
     expect(uncaught).toEqual([]);
   });
--- a/packages/banyanfold-gateway/src/__tests__/quarantineKeeper.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/quarantineKeeper.test.ts
@@ -7,19 +7,19 @@
 import type {LeaseSource, QuarantineStore} from '../types.js';
 
 let clock: VirtualClock;
-let kept: Map<string, number>;
-let isStoreLost: boolean;
+let stored: Map<string, number>;
+let isStoreDown: boolean;
 let lease: {owns: boolean; term: number};
 let calls: number;
-let isHeard: boolean;
+let isHolderReachable: boolean;
 
 beforeEach(() => {
   clock = new VirtualClock();
-  kept = new Map();
-  isStoreLost = false;
+  stored = new Map();
+  isStoreDown = false;
   lease = {owns: true, term: 1};
   calls = 0;
-  isHeard = true;
+  isHolderReachable = true;
 });
 
 let reset: () => void;
@@ -30,7 +30,7 @@
   },
   load: async () => {
     calls += 1;
-    if (isStoreLost) {
+    if (isStoreDown) {
       return err(
         new BanyanfoldError('no-answer', 'none', {
           step: 'quarantine',
@@ -38,11 +38,11 @@
         }),
       );
     }
-    return ok([...kept].map(([fingerprint, atMs]) => ({fingerprint, atMs})));
+    return ok([...stored].map(([fingerprint, atMs]) => ({fingerprint, atMs})));
   },
   update: async (put, dropped) => {
     calls += 1;
-    if (isStoreLost) {
+    if (isStoreDown) {
       return err(
         new BanyanfoldError('no-answer', 'none', {
           step: 'quarantine',
@@ -50,8 +50,8 @@
         }),
       );
     }
-    for (const {fingerprint, atMs} of put) kept.set(fingerprint, atMs);
-    for (const fingerprint of dropped) kept.delete(fingerprint);
+    for (const {fingerprint, atMs} of put) stored.set(fingerprint, atMs);
+    for (const fingerprint of dropped) stored.delete(fingerprint);
     return ok();
   },
 };
@@ -65,15 +65,15 @@
     store,
     lease: {current: () => lease} as unknown as LeaseSource,
     suspects,
-    isHolderReachable: () => isHeard,
+    isHolderReachable: () => isHolderReachable,
   });
   keeper.start();
   return {keeper, suspects};
 }
 
 describe('QuarantineKeeper', () => {
-  it('loads at the start, and once for each time that it holds the lease', async () => {
-    kept.set('a', clock.wallMs());
+  it('loads at the start, and once for each term of the lease', async () => {
+    stored.set('a', clock.wallMs());
     lease.owns = false;
     const {keeper, suspects} = startKeeper();
     await clock.advance(2_000);
@@ -89,39 +89,39 @@
     keeper.stop();
   });
 
-  // Guards against a request that is free again once the store has lost it.
-  it('writes what it knows again when the store comes back older', async () => {
+  // Otherwise a request would run again after the store has lost its record.
+  it('rewrites its records after the store lost recent writes', async () => {
     const {keeper} = startKeeper();
     await clock.advance(1_000);
     keeper.add('a');
     await clock.advance(1_000);
-    const written = new Map(kept);
-    kept.clear();
+    const written = new Map(stored);
+    stored.clear();
     reset();
     await clock.advance(1_000);
-    expect(kept).toEqual(written);
+    expect(stored).toEqual(written);
     const callsBefore = calls;
     lease.owns = false;
-    kept.clear();
+    stored.clear();
     reset();
     await clock.advance(1_000);
     expect(calls).toBe(callsBefore);
     keeper.stop();
   });
 
-  it('reads for itself while no holder is heard, once runners have crashed', async () => {
-    // An entry is cut off from all others, but not from the store nor from the
-    // runners. What the others have found would reach it only when it is back, and
-    // the request crashes runners from here meanwhile.
+  it('reads the store without a reachable holder once runners have crashed', async () => {
+    // An entry loses its peers, but still reaches the store and the runners.
+    // Without reading the store it would keep sending a request that the others
+    // have quarantined.
     lease.owns = false;
     const {keeper, suspects} = startKeeper();
     await clock.advance(10_000);
     expect(calls).toBe(1);
-    isHeard = false;
+    isHolderReachable = false;
     await clock.advance(10_000);
     expect(calls).toBe(1);
     suspects.noteCrash({crashId: 'r1@1', fingerprints: ['a']});
-    kept.set('a', clock.wallMs());
+    stored.set('a', clock.wallMs());
     await clock.advance(2_500);
     expect(suspects.verdictOf('a')).toBe('quarantined');
     await clock.advance(20_000);
@@ -130,34 +130,34 @@
     keeper.stop();
   });
 
-  it('keeps a verdict when the store is back', async () => {
-    // The verdict falls while the store is out; kept nowhere, it would be
-    // forgotten with the process.
+  it('writes a record once the store is available again', async () => {
+    // A request is quarantined while the store is unavailable. Without a later
+    // write the quarantine would be lost when the process ends.
     const {keeper} = startKeeper();
     await clock.advance(1_000);
-    isStoreLost = true;
+    isStoreDown = true;
     keeper.add('a');
     await clock.advance(3_000);
-    expect(kept.size).toBe(0);
-    isStoreLost = false;
+    expect(stored.size).toBe(0);
+    isStoreDown = false;
     await clock.advance(1_000);
-    expect([...kept.keys()]).toEqual(['a']);
+    expect([...stored.keys()]).toEqual(['a']);
     keeper.stop();
   });
 
-  it('drops what is out of date, and the oldest of too many', async () => {
-    kept.set('old', clock.wallMs() - QUARANTINE_MS - 1);
-    for (let i = 0; i < 500; i++) kept.set(`f${i}`, clock.wallMs() - 500 + i);
+  it('drops expired records, and the oldest above the maximum', async () => {
+    stored.set('old', clock.wallMs() - QUARANTINE_MS - 1);
+    for (let i = 0; i < 500; i++) stored.set(`f${i}`, clock.wallMs() - 500 + i);
     const {keeper, suspects} = startKeeper();
     await clock.advance(1_000);
     expect(suspects.verdictOf('old')).toBeUndefined();
     expect(suspects.verdictOf('f1')).toBe('quarantined');
     keeper.add('new');
     await clock.advance(1_000);
-    expect(kept.size).toBe(500);
-    expect(kept.has('old')).toBe(false);
-    expect(kept.has('f0')).toBe(false);
-    expect(kept.has('new')).toBe(true);
+    expect(stored.size).toBe(500);
+    expect(stored.has('old')).toBe(false);
+    expect(stored.has('f0')).toBe(false);
+    expect(stored.has('new')).toBe(true);
     keeper.stop();
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/relay.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/relay.test.ts
@@ -19,7 +19,7 @@
 let suspects: CrashSuspects;
 let ownWork: number;
 
-function wordOf(fields: Partial<ExchangeOutput> = {}): ExchangeOutput {
+function stateOf(fields: Partial<ExchangeOutput> = {}): ExchangeOutput {
   return {
     kind: 'told',
     holder: HOLDER,
@@ -64,13 +64,13 @@
   };
 }
 
-function told(input: ExchangeInput): ExchangeOutput {
+function exchange(input: ExchangeInput): ExchangeOutput {
   const output = relay.exchange(input);
-  if (output.kind !== 'told') throw new Error('not told');
+  if (output.kind !== 'told') throw new Error('no state to forward');
   return output;
 }
 
-const ASKED = {
+const DEMAND = {
   model: 'm1',
   arrivals: 2,
   promptTokens: 100,
@@ -112,27 +112,27 @@
 });
 
 describe('Relay', () => {
-  it('passes the word on with its age, and what is open elsewhere', async () => {
-    // An entry sees the work of all others once: that of the holder's word, of
-    // the relay itself, and of its group, but for its own.
-    relay.noteHolderState(wordOf());
+  it('forwards the state with its age and the open work of other entries', async () => {
+    // An entry must count the work of each other entry once: the work in the
+    // holder's state, of the relay itself, and of the group without the entry.
+    relay.noteHolderState(stateOf());
     ownWork = 3;
-    told(inputOf('e1:7', {openWork: {r1: 5}}));
+    exchange(inputOf('e1:7', {openWork: {r1: 5}}));
     await clock.advance(200);
-    const output = told(inputOf('e2:7', {openWork: {r1: 7}}));
+    const output = exchange(inputOf('e2:7', {openWork: {r1: 7}}));
     expect(output.ageMs).toBe(200);
     expect(output.peersWork).toEqual({r1: 18});
     expect(output.copies.runners.map(({runnerId}) => runnerId)).toEqual(['r1']);
-    // Told again only what has changed since.
+    // The next answer contains only changes.
     const {epoch, revision} = output.copies;
-    const again = told(inputOf('e2:7', {known: {epoch, revision}}));
+    const again = exchange(inputOf('e2:7', {known: {epoch, revision}}));
     expect(again.copies.runners).toEqual([]);
   });
 
-  it('tells the holder the sum of its group, until a member falls silent', async () => {
-    relay.noteHolderState(wordOf());
+  it('sends the total load of its group until a member times out', async () => {
+    relay.noteHolderState(stateOf());
     ownWork = 3;
-    told(inputOf('e1:7', {openWork: {r1: 5}, waiting: {m1: 2}}));
+    exchange(inputOf('e1:7', {openWork: {r1: 5}, waiting: {m1: 2}}));
     const load = relay.groupLoad(OWN);
     expect(load.members.map(({address}) => address)).toEqual([
       OWN.address,
@@ -144,53 +144,54 @@
     expect(relay.groupLoad(OWN).openWork).toEqual({r1: 3});
   });
 
-  it('counts a batch once that was sent again', () => {
-    // The holder would plan for a burst: an answer was lost, and the entry sends
-    // its demand a second time.
-    relay.noteHolderState(wordOf());
-    const batch = {batchId: 'e1#5', demand: [ASKED]};
-    told(inputOf('e1:7', {batch}));
-    told(inputOf('e1:7', {batch}));
-    expect(demand.take()).toEqual([ASKED]);
+  it('counts a resent batch once', () => {
+    // An answer is lost, and the entry sends its demand again. If it counted
+    // twice, the holder would plan for a burst.
+    relay.noteHolderState(stateOf());
+    const batch = {batchId: 'e1#5', demand: [DEMAND]};
+    exchange(inputOf('e1:7', {batch}));
+    exchange(inputOf('e1:7', {batch}));
+    expect(demand.take()).toEqual([DEMAND]);
   });
 
-  it('says that it has no word when the holder was silent for long', async () => {
-    // Entries behind a relay that is cut off from the holder would decide by
-    // what was known seconds ago; told so, they ask the holder themselves.
+  it('names the holder if it has no recent state', async () => {
+    // Otherwise entries behind a relay that can't reach the holder decide by
+    // state that is seconds old. With this answer they contact the holder
+    // directly.
     expect(relay.exchange(inputOf('e1:7'))).toEqual({
       kind: 'not-holder',
       holderAddress: HOLDER,
     });
-    relay.noteHolderState(wordOf());
+    relay.noteHolderState(stateOf());
     await clock.advance(1_000);
     expect(relay.exchange(inputOf('e1:7')).kind).toBe('not-holder');
   });
 
-  it('passes on who was at runners that crashed, and who is a suspect', () => {
-    // Behind a relay an entry would never hear that a request crashes runners, and
-    // send it on.
-    relay.noteHolderState(wordOf());
+  it('forwards crash reports and the list of suspects', () => {
+    // Otherwise an entry behind a relay never learns that a request crashes
+    // runners, and keeps sending it.
+    relay.noteHolderState(stateOf());
     const quarantined = [{fingerprint: 'a', quarantinedMs: 5_000}];
     suspects.applyList({epoch: 'h', revision: 3, suspects: quarantined});
-    const news = {
+    const crashReport = {
       crashes: [{life: 'r1@1', fingerprints: ['b']}],
       served: [],
       trialsOver: [],
       quarantined: [],
     };
-    const output = told(inputOf('e1:7', {crashes: news}));
+    const output = exchange(inputOf('e1:7', {crashes: crashReport}));
     expect(output.suspects?.suspects).toEqual(quarantined);
-    expect(suspects.pendingReport()?.crashes).toEqual(news.crashes);
+    expect(suspects.pendingReport()?.crashes).toEqual(crashReport.crashes);
     const known = {epoch: 'h', revision: 3};
-    expect(told(inputOf('e1:7', {knownSuspects: known})).suspects).toEqual(
+    expect(exchange(inputOf('e1:7', {knownSuspects: known})).suspects).toEqual(
       known,
     );
   });
 
-  it('passes newer versions on, both ways', () => {
-    relay.noteHolderState(wordOf());
-    told(inputOf('e1:7', {configVersion: 6, runnersChange: 12}));
-    expect(told(inputOf('e2:7')).configVersion).toBe(6);
+  it('forwards newer versions in both directions', () => {
+    relay.noteHolderState(stateOf());
+    exchange(inputOf('e1:7', {configVersion: 6, runnersChange: 12}));
+    expect(exchange(inputOf('e2:7')).configVersion).toBe(6);
     expect(relay.newestVersions({configVersion: 4, runnersChange: 9})).toEqual({
       configVersion: 6,
       runnersChange: 12,
@@ -199,22 +200,23 @@
 });
 
 describe('PendingDemand', () => {
-  it('sends the same batch until it is answered, and loses nothing', () => {
-    // Copies come for what callers ask: an exchange gets no answer, and what it
-    // carried is sent again while new demand waits for the next one.
-    const unanswered = new PendingDemand(
+  it('returns the same batch until it is acknowledged, and loses no demand', () => {
+    // Copies are loaded by demand, so none may be lost. An exchange gets no
+    // answer, and its batch is sent again while new demand waits for the next
+    // batch.
+    const pending = new PendingDemand(
       demand,
       () => [],
       () => [],
       new OutcomeMeter(),
       'e1#0',
     );
-    demand.add([ASKED]);
-    const first = unanswered.nextBatch();
-    demand.add([{...ASKED, model: 'm2'}]);
-    expect(unanswered.nextBatch()).toEqual(first);
-    unanswered.acknowledge();
-    const second = unanswered.nextBatch();
+    demand.add([DEMAND]);
+    const first = pending.nextBatch();
+    demand.add([{...DEMAND, model: 'm2'}]);
+    expect(pending.nextBatch()).toEqual(first);
+    pending.acknowledge();
+    const second = pending.nextBatch();
     expect(second.batchId).not.toBe(first.batchId);
     expect(second.demand.map(({model}) => model)).toEqual(['m2']);
   });
