--- a/packages/banyanfold-gateway/src/__tests__/peerClient.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/peerClient.test.ts
@@ -50,7 +50,7 @@
 describe('createPeerClient', () => {
   // An unhandled error would end the process and abort all its requests. It
   // arises if a connection is abandoned while it is being opened, because the
-  // peer is suspended or its machine has gone.
+  // peer is suspended or its machine is down.
   const peers: Record<string, (socket: net.Socket) => void> = {
     'never answers': () => {},
     'resets the connection': socket => socket.resetAndDestroy(),
--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -68,7 +68,7 @@
 const HOLDER_TIMEOUT_MS = 1_500;
 /**
  * Pause before a failed relay is used again. Within two seconds the holder
- * notices that a relay has gone, and names another one.
+ * notices that a relay has ended, and names another one.
  */
 const RELAY_RETRY_MS = 3_000;
 
--- a/packages/banyanfold-gateway/src/peers/peerClient.ts
+++ b/packages/banyanfold-gateway/src/peers/peerClient.ts
@@ -132,7 +132,7 @@
   try {
     return await peer.client.lastOrder.query(successor);
   } catch {
-    // Undefined tells the caller that the former holder is unreachable.
+    // Undefined means that the former holder is unreachable.
     return undefined;
   } finally {
     peer.close();
--- a/packages/banyanfold-gateway/src/peers/peerContract.ts
+++ b/packages/banyanfold-gateway/src/peers/peerContract.ts
@@ -123,9 +123,7 @@
   kind: z.literal('told'),
   /** Address of the holder that produced the state. */
   holder: z.string(),
-  /**
-   * Whether the holder may give orders; false once its lease may have lapsed.
-   */
+  /** Whether the holder may give orders; false shortly after a lapse. */
   isOrdering: z.boolean(),
   /** Age of the state in ms; 0 from a holder that may give orders. */
   ageMs: z.number(),
--- a/packages/banyanfold-protocol/src/__tests__/reportChanges.test.ts
+++ b/packages/banyanfold-protocol/src/__tests__/reportChanges.test.ts
@@ -66,7 +66,7 @@
 describe('ReportHistory', () => {
   // Only a faulty or foreign client sends such a cursor; there are no valid
   // changes.
-  it('returns the whole report for a cursor of a future report', () => {
+  it('returns the full report for a cursor of a future report', () => {
     const history = new ReportHistory();
     history.observe(reportOf(4));
     const cursor = {incarnation: 3, sequence: 6};
@@ -97,7 +97,7 @@
 
   const unused = () => Promise.reject(new Error('not served here'));
 
-  it('fetches the whole report first, then changes', async () => {
+  it('fetches the full report first, then changes', async () => {
     const history = new ReportHistory();
     let sequence = 0;
     const createReport = () => reportOf(++sequence);
@@ -121,7 +121,7 @@
   // During a rolling upgrade some agents are older than the entries. An entry
   // that treated the missing procedure as a failure would have no copies to
   // route to.
-  it('fetches the whole report from an agent of an earlier release', async () => {
+  it('fetches the full report from an agent of an earlier release', async () => {
     const t = initTRPC.create();
     const client = await clientOf(
       t.router({report: t.procedure.query(() => reportOf(9))}),
--- a/packages/banyanfold-protocol/src/agentContract.ts
+++ b/packages/banyanfold-protocol/src/agentContract.ts
@@ -110,7 +110,7 @@
 /** Handlers that an agent implements for entries and operators. */
 export interface AgentHandlers {
   report(): Promise<AgentReport>;
-  /** Returns the changes since the caller's report, or the whole report. */
+  /** Returns the changes since the caller's report, or the full report. */
   reportSince?(
     cursor: ReportCursor | undefined,
   ): Promise<AgentReport | ReportChanges>;
--- a/packages/banyanfold-protocol/src/clients.ts
+++ b/packages/banyanfold-protocol/src/clients.ts
@@ -54,8 +54,8 @@
 export type EntryClient = ReturnType<typeof createEntryClient>;
 
 /**
- * Fetches the changes since the held report, or the whole report if none is
- * held. An agent of an earlier release lacks this procedure, so its whole
+ * Fetches the changes since the held report, or the full report if none is
+ * held. An agent of an earlier release lacks this procedure, so its full
  * report is fetched instead. A release can therefore be rolled out in any
  * order.
  *
--- a/packages/banyanfold-protocol/src/reportChanges.ts
+++ b/packages/banyanfold-protocol/src/reportChanges.ts
@@ -41,7 +41,7 @@
     this.observePrefixes(report);
   }
 
-  /** Returns the changes since the cursor, or the whole report. */
+  /** Returns the changes since the cursor, or the full report. */
   answer(
     report: AgentReport,
     cursor: ReportCursor | undefined,
@@ -71,7 +71,7 @@
   /**
    * Whether changes suffice for an entry with this cursor. If its report is
    * from another process, or older than the last change to the copies, the
-   * entry would keep a stale list that looks current, so it gets the whole
+   * entry would keep a stale list that looks current, so it gets the full
    * report. Equal cursors denote the same report: incarnations are offsets of
    * the log, or random while the log is unavailable, so no two processes share
    * one, and within a process the sequence never decreases.
@@ -114,7 +114,7 @@
     this.evictRemoved();
   }
 
-  /** Entries that hold an older report than an evicted one get it whole. */
+  /** Entries with a report from before an evicted removal get a full report. */
   private evictRemoved(): void {
     for (const [prefix, sequence] of this.removedAt) {
       if (this.removedAt.size <= MAX_REMOVED_PREFIXES) return;
@@ -124,7 +124,7 @@
   }
 }
 
-/** Whether an answer contains changes instead of a whole report. */
+/** Whether an answer contains changes instead of a full report. */
 export function isReportChanges(
   answer: AgentReport | ReportChanges,
 ): answer is ReportChanges {
@@ -132,7 +132,7 @@
 }
 
 /**
- * Returns the whole report that an answer represents, or undefined if it can't
+ * Returns the full report that an answer represents, or undefined if it can't
  * be applied to the held report.
  *
  * Changes since a newer report than the held one would skip what happened
@@ -186,7 +186,7 @@
   return [...added, ...held.filter(prefix => !dropped.has(prefix))];
 }
 
-/** Key of the lists whose changes require a whole report. */
+/** Key of the lists whose changes require a full report. */
 function listsKeyOf({copies, services}: AgentReport): string {
   const stable = copies.map(({idleMs: _idleMs, ...copy}) => copy);
   return JSON.stringify([stable, services]);
