--- a/packages/banyanfold-gateway/src/__tests__/gatewayServer.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/gatewayServer.test.ts
@@ -39,7 +39,7 @@
         throw new Error('what nobody foresaw');
       },
     },
-    isLeaving: () => false,
+    isDraining: () => false,
   } as unknown as GatewayContext);
   await server.listen(0, '127.0.0.1');
 });
--- a/packages/banyanfold-gateway/src/callers/decideCaller.ts
+++ b/packages/banyanfold-gateway/src/callers/decideCaller.ts
@@ -38,7 +38,7 @@
   if (!directory || isPublic) return {kind: 'admitted'};
   if (isConfigStale) return {kind: 'undecided'};
   const organisation =
-    keyDigest === undefined ? undefined : directory.holderOf(keyDigest);
+    keyDigest === undefined ? undefined : directory.findByKeyDigest(keyDigest);
   if (organisation) return {kind: 'admitted', organisation};
   if (!isConfigConfirmed) return {kind: 'undecided'};
   const reason = keyDigest === undefined ? 'no-key' : 'unknown-key';
--- a/packages/banyanfold-gateway/src/callers/organisationDirectory.ts
+++ b/packages/banyanfold-gateway/src/callers/organisationDirectory.ts
@@ -15,11 +15,11 @@
   }
 
   /** @example directory.holderOf(keyDigestOf(key))?.name // 'claims-desk' */
-  holderOf(keyDigest: string): Organisation | undefined {
+  findByKeyDigest(keyDigest: string): Organisation | undefined {
     return this.byDigest.get(keyDigest);
   }
 
-  named(name: string): Organisation | undefined {
+  findByName(name: string): Organisation | undefined {
     return this.byName.get(name);
   }
 }
--- a/packages/banyanfold-gateway/src/callers/usageAccounts.ts
+++ b/packages/banyanfold-gateway/src/callers/usageAccounts.ts
@@ -84,7 +84,7 @@
   }
 
   /** Takes in what was kept in the store, until the holder tells. */
-  tellStored(
+  restore(
     usage: Readonly<Record<string, FleetUsageTold>>,
     ageMs: number,
   ): void {
@@ -108,7 +108,7 @@
   }
 
   /** What was admitted was not run after all. */
-  giveBack(organisation: string, amount: number): void {
+  refund(organisation: string, amount: number): void {
     const account = this.of(organisation);
     account.usage.giveBack(amount);
     account.unreported -= amount;
@@ -132,7 +132,7 @@
    * @param ageMs since it was known.
    * @param isPassedOn a relay told, whose word may not hold the last report yet.
    */
-  tell(
+  applyFleetUsage(
     told: Readonly<Record<string, FleetUsageTold>>,
     ageMs: number,
     isPassedOn: boolean,
@@ -161,7 +161,7 @@
   }
 
   /** Age of what this entry decides by, in ms; undefined before it was told. */
-  get toldAgeMs(): number | undefined {
+  get fleetUsageAgeMs(): number | undefined {
     if (!this.told) return undefined;
     return Math.round(this.options.clock.nowMs() - this.told.atMs);
   }
--- a/packages/banyanfold-gateway/src/callers/usageKeeper.ts
+++ b/packages/banyanfold-gateway/src/callers/usageKeeper.ts
@@ -51,7 +51,7 @@
     const record = loaded.value;
     const ageMs = Math.max(0, clock.wallMs() - (record?.atMs ?? 0));
     const isCurrent = record !== undefined && ageMs < accounts.windowMs;
-    accounts.tellStored(
+    accounts.restore(
       isCurrent ? record.organisations : {},
       isCurrent ? ageMs : 0,
     );
--- a/packages/banyanfold-gateway/src/context.ts
+++ b/packages/banyanfold-gateway/src/context.ts
@@ -4,7 +4,7 @@
 import type {TrialInput} from './crashes/crashContract.js';
 import type {CrashSuspects} from './crashes/crashSuspects.js';
 import type {CrashWatch} from './crashes/crashWatch.js';
-import type {ComingWork} from './requests/comingWork.js';
+import type {WorkForecast} from './requests/workForecast.js';
 import type {DemandMeter} from './placement/demandMeter.js';
 import type {GatewayOptions} from './options.js';
 import type {HeldCopies} from './runners/heldCopies.js';
@@ -35,15 +35,15 @@
   view: FleetView;
   codec: RequestCodec;
   connections: RunnerConnections;
-  states: RunnerStates;
-  gate: PromptGate;
+  runnerStates: RunnerStates;
+  promptGate: PromptGate;
   rateLimits: RunnerRateLimits;
   crashWatch: CrashWatch;
   suspects: CrashSuspects;
-  held: HeldCopies;
+  heldCopies: HeldCopies;
   demand: DemandMeter;
   usage: UsageAccounts;
-  coming: ComingWork;
+  workForecast: WorkForecast;
   /**
    * Keys are accepted so long after the configuration was last confirmed, in ms;
    * undefined for however long.
@@ -54,16 +54,16 @@
   /** Reads the configuration anew. */
   refreshConfig(): void;
   /** Entries that are at work, this one included. */
-  entries(): number;
+  entryCount(): number;
   retryBudgetOf(service: string): RetryBudget;
   ensureAdapter: EnsureAdapter;
   permitTrial: PermitTrial;
   random(): number;
   /** True once this process is leaving. */
-  isLeaving(): boolean;
+  isDraining(): boolean;
   /**
    * When this process cuts off what it still carries, in ms of the clock;
    * undefined until it leaves and the balancer has noticed.
    */
-  cutOffMs(): number | undefined;
+  drainDeadlineMs(): number | undefined;
 }
--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -24,8 +24,8 @@
 import {PromptGate} from './runners/promptGate.js';
 import {RunnerRateLimits} from './runners/runnerRateLimits.js';
 import {RunnerConnections} from './runners/runnerConnections.js';
-import {ComingWork} from './requests/comingWork.js';
-import {ServiceBudgets} from './requests/serviceBudgets.js';
+import {WorkForecast} from './requests/workForecast.js';
+import {RetryBudgets} from './requests/retryBudgets.js';
 import {RunnerStates} from './runners/runnerStates.js';
 import type {
   FleetSource,
@@ -67,7 +67,7 @@
   isFirstStart: boolean;
 }
 
-export interface GatewayParts {
+export interface GatewayDependencies {
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
@@ -110,7 +110,7 @@
   private isLeaving = false;
   private cutOffMs: number | undefined;
 
-  constructor(private readonly parts: GatewayParts) {
+  constructor(private readonly parts: GatewayDependencies) {
     const {clock, logger, metrics, settings, codec, lease, control} = parts;
     const options = {...DEFAULT_OPTIONS, ...parts.options};
     const address = `${settings.peers.host}:${settings.peers.port}`;
@@ -136,7 +136,7 @@
       windowMs: settings.bounds.usageWindowMs,
       isFirstStart: settings.isFirstStart,
       random,
-      isKnown: name => this.view.organisations?.named(name) !== undefined,
+      isKnown: name => this.view.organisations?.findByName(name) !== undefined,
     });
     const suspects = new CrashSuspects(clock);
     const crashes = new CrashLedger({
@@ -227,14 +227,14 @@
       },
     });
     const {retryRatio, retrySlack, retryWindowMs} = settings.bounds;
-    const budgets = new ServiceBudgets({
+    const budgets = new RetryBudgets({
       clock,
       metrics,
       retryRatio,
       retrySlack,
       retryWindowMs,
       usedShare: options.retryBudgetShare,
-      entries: () => this.entries,
+      entryCount: () => this.entries,
     });
     this.context = {
       clock,
@@ -245,8 +245,8 @@
       view: this.view,
       codec,
       connections: new RunnerConnections(clock, options),
-      states,
-      gate: new PromptGate(clock),
+      runnerStates: states,
+      promptGate: new PromptGate(clock),
       rateLimits,
       crashWatch: new CrashWatch({
         clock,
@@ -257,20 +257,20 @@
         onCrash: crash => suspects.noteCrash(crash),
       }),
       suspects,
-      held,
+      heldCopies: held,
       demand,
       usage,
-      coming: new ComingWork(() => clock.nowMs()),
+      workForecast: new WorkForecast(() => clock.nowMs()),
       keysTrustedMs: settings.bounds.keysTrustedMs,
       configApplyMs: settings.bounds.configApplyMs,
       refreshConfig: () => parts.fleet.refreshConfig(),
-      entries: () => this.entries,
+      entryCount: () => this.entries,
       retryBudgetOf: service => budgets.of(service),
       ensureAdapter: this.link.ensureAdapter,
       permitTrial: this.link.permitTrial,
       random,
-      isLeaving: () => this.isLeaving,
-      cutOffMs: () => this.cutOffMs,
+      isDraining: () => this.isLeaving,
+      drainDeadlineMs: () => this.cutOffMs,
     };
     this.callers = new GatewayServer(this.context);
     this.readiness = createReadinessServer(() => this.isReady);
@@ -285,7 +285,7 @@
   }
 
   /** It leaves, and the balancer sends no callers here any more. */
-  get hasBeenNoticed(): boolean {
+  get isDrainNoticed(): boolean {
     return this.cutOffMs !== undefined;
   }
 
@@ -435,10 +435,12 @@
     this.parts.metrics.observeMs('loop_delay_ms', Math.max(0, lateMs));
     this.tidiedMs = nowMs;
 
-    this.context.states.judge();
-    this.context.states.keepOnly(id => this.view.runner(id) !== undefined);
+    this.context.runnerStates.judge();
+    this.context.runnerStates.keepOnly(
+      id => this.view.runner(id) !== undefined,
+    );
     this.context.rateLimits.keepOnly(id => this.view.runner(id) !== undefined);
-    this.context.gate.keepOnly(id => this.view.runner(id) !== undefined);
+    this.context.promptGate.keepOnly(id => this.view.runner(id) !== undefined);
     this.context.connections.closeIdle();
   }
 }
--- a/packages/banyanfold-gateway/src/gatewayServer.ts
+++ b/packages/banyanfold-gateway/src/gatewayServer.ts
@@ -4,9 +4,9 @@
   type ServerResponse,
 } from 'node:http';
 import type {GatewayContext} from './context.js';
-import {FINAL_STATUS, sendFinalAnswer} from './requests/finalAnswer.js';
+import {ERROR_STATUS, sendErrorResponse} from './requests/errorResponse.js';
 import {readBody} from './requests/readBody.js';
-import {RequestRun} from './requests/requestRun.js';
+import {RequestHandler} from './requests/requestHandler.js';
 import {CallerIdentity} from './callers/callerIdentity.js';
 import type {CallerDecision} from './callers/decideCaller.js';
 import {shortDigest} from './callers/keyDigest.js';
@@ -33,7 +33,7 @@
 /** Takes callers' requests and carries each to its answer. */
 export class GatewayServer {
   readonly server: Server;
-  private readonly runs = new Set<RequestRun>();
+  private readonly runs = new Set<RequestHandler>();
   openRequests = 0;
   private nextTurns: Promise<void> | undefined;
 
@@ -105,14 +105,14 @@
     const body = await readBody(request, this.limits.maxBodyBytes);
     if (body === 'broken-off') return;
     if (body === 'too-large') {
-      this.turnAway(request, response, FINAL_STATUS.tooLarge, true);
+      this.turnAway(request, response, ERROR_STATUS.tooLarge, true);
       return;
     }
     if (!context.view.isReady) await this.untilReady();
     await this.untilCloseIsRead();
     if (response.closed || request.socket.readableEnded) return;
     if (!context.view.isReady) {
-      this.turnAway(request, response, FINAL_STATUS.notRun, false);
+      this.turnAway(request, response, ERROR_STATUS.notRun, false);
       return;
     }
     const host = request.headers.host ?? '';
@@ -135,7 +135,7 @@
       return;
     }
     const {organisation} = caller;
-    const run = new RequestRun({
+    const run = new RequestHandler({
       context,
       request,
       response,
@@ -160,7 +160,7 @@
    * may have run it, so that nothing is promised.
    */
   private endFailed(response: ServerResponse, thrown: unknown): void {
-    const {metrics, logger, isLeaving} = this.context;
+    const {metrics, logger, isDraining: isLeaving} = this.context;
     metrics.count('requests_failed_inside_total');
     const stack = thrown instanceof Error ? thrown.stack : String(thrown);
     logger.error('request-failed', {
@@ -170,8 +170,8 @@
       response.destroy();
       return;
     }
-    const answer = {status: FINAL_STATUS.unknown, reason: 'internal-error'};
-    sendFinalAnswer(response, answer, isLeaving());
+    const answer = {status: ERROR_STATUS.unknown, reason: 'internal-error'};
+    sendErrorResponse(response, answer, isLeaving());
   }
 
   /**
@@ -214,9 +214,9 @@
   private headProblem(request: IncomingMessage): number | undefined {
     let bytes = 0;
     for (const text of request.rawHeaders) bytes += text.length + 2;
-    if (bytes > this.limits.maxHeaderBytes) return FINAL_STATUS.headTooLarge;
+    if (bytes > this.limits.maxHeaderBytes) return ERROR_STATUS.headTooLarge;
     const length = Number(request.headers['content-length'] ?? 0);
-    if (length > this.limits.maxBodyBytes) return FINAL_STATUS.tooLarge;
+    if (length > this.limits.maxBodyBytes) return ERROR_STATUS.tooLarge;
     return undefined;
   }
 
@@ -230,11 +230,11 @@
   ): void {
     const {view, configApplyMs, refreshConfig} = this.context;
     if (view.isConfigConfirmed(configApplyMs)) {
-      this.turnAway(request, response, FINAL_STATUS.noRoute, false);
+      this.turnAway(request, response, ERROR_STATUS.noRoute, false);
       return;
     }
     refreshConfig();
-    this.turnAway(request, response, FINAL_STATUS.notRun, false);
+    this.turnAway(request, response, ERROR_STATUS.notRun, false);
   }
 
   /** Refuses a caller that may not use the route, or may not be known to. */
@@ -245,10 +245,10 @@
     caller: Exclude<CallerDecision, {kind: 'admitted'}>,
   ): void {
     if (caller.kind === 'undecided') {
-      this.turnAway(request, response, FINAL_STATUS.notRun, false);
+      this.turnAway(request, response, ERROR_STATUS.notRun, false);
       return;
     }
-    const {metrics, logger, view, isLeaving} = this.context;
+    const {metrics, logger, view, isDraining: isLeaving} = this.context;
     const {reason} = caller;
     metrics.count('callers_unauthorized_total', {reason});
     logger.info('unauthorized', {
@@ -258,8 +258,8 @@
       target: request.url,
       config: view.current?.version,
     });
-    const status = FINAL_STATUS.unauthorized;
-    sendFinalAnswer(response, {status, reason}, isLeaving());
+    const status = ERROR_STATUS.unauthorized;
+    sendErrorResponse(response, {status, reason}, isLeaving());
   }
 
   private turnAway(
@@ -277,15 +277,15 @@
       config: view.current?.version,
       configAgeMs: view.configAgeMs && Math.round(view.configAgeMs),
     });
-    sendFinalAnswer(
+    sendErrorResponse(
       response,
       {
         status,
         reason: http.STATUS_CODES[status] ?? 'refused',
         retryAfterMs:
-          status === FINAL_STATUS.notRun ? NOT_READY_RETRY_MS : undefined,
+          status === ERROR_STATUS.notRun ? NOT_READY_RETRY_MS : undefined,
       },
-      closeConnection || this.context.isLeaving(),
+      closeConnection || this.context.isDraining(),
     );
   }
 }
--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -344,7 +344,11 @@
     const isPassedOn = output.holder !== teller;
     if (isPassedOn) lease.noteHolder(output.holder);
     else if (teller !== self.address) this.relay.noteWord(output);
-    this.deps.usage.tell(output.usage ?? {}, output.ageMs, isPassedOn);
+    this.deps.usage.applyFleetUsage(
+      output.usage ?? {},
+      output.ageMs,
+      isPassedOn,
+    );
     this.deps.rateLimits.tell(
       output.rateLimits ?? {},
       output.ageMs,
--- a/packages/banyanfold-gateway/src/placement/demandView.ts
+++ b/packages/banyanfold-gateway/src/placement/demandView.ts
@@ -57,7 +57,7 @@
 
   private add(asked: ModelDemand, nowMs: number): void {
     const {arrivals, promptTokens, outputTokens} = asked;
-    const {read, generate} = workOf({
+    const {prefill: read, decode: generate} = workOf({
       requests: arrivals,
       promptTokens,
       outputTokens,
--- a/packages/banyanfold-gateway/src/placement/holder.ts
+++ b/packages/banyanfold-gateway/src/placement/holder.ts
@@ -218,7 +218,7 @@
 
   private limitOf(organisation: string): UsageLimit | undefined {
     const {usage, view} = this.deps;
-    const cap = view.organisations?.named(organisation)?.usageCap;
+    const cap = view.organisations?.findByName(organisation)?.usageCap;
     return cap && usage.limitOf(cap);
   }
 
--- a/packages/banyanfold-gateway/src/placement/leaseKeeper.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseKeeper.ts
@@ -2,7 +2,7 @@
 import type {Result} from 'neverthrow';
 import type {LastOrder, LeaseHandover} from '../peers/peerContract.js';
 import type {
-  LeaseAnswer,
+  JoinResult,
   LeaseSource,
   LeaseState,
   LeaseStore,
@@ -323,7 +323,7 @@
    * the lease: the store may deal it anew when a member comes back.
    */
   private async joinUnlessHeld(): Promise<
-    Result<LeaseAnswer, BanyanfoldError> | 'left-to-another'
+    Result<JoinResult, BanyanfoldError> | 'left-to-another'
   > {
     const {store} = this.options;
     if (this.mayBeSucceeded()) {
--- a/packages/banyanfold-gateway/src/requests/ownRefusals.ts
+++ b/packages/banyanfold-gateway/src/requests/admissionChecks.ts
@@ -9,14 +9,14 @@
 import type {GatewayContext} from '../context.js';
 import type {InferenceRequest, RoutePolicy} from '../types.js';
 
-export interface OwnRefusalsOptions {
+export interface AdmissionChecksOptions {
   context: GatewayContext;
   request: InferenceRequest;
   route: RoutePolicy;
   startedMs: number;
   deadlineMs: number;
   /** When its caller leaves unless an answer has begun. */
-  leavesMs: number;
+  responseStartDeadlineMs: number;
 }
 
 /** A refusal by the queue of a runner, with what decided it. */
@@ -32,8 +32,8 @@
 }
 
 /** What this process refuses by itself, for a request that no runner has. */
-export class OwnRefusals {
-  constructor(private readonly options: OwnRefusalsOptions) {}
+export class AdmissionChecks {
+  constructor(private readonly options: AdmissionChecksOptions) {}
 
   /**
    * A balancer with few entries left sends callers here to the end. A stream
@@ -41,19 +41,19 @@
    * its caller loses less by asking another entry at once. What ends in any
    * case before the process does is still served.
    */
-  get isTooLate(): boolean {
-    const cutOffMs = this.options.context.cutOffMs();
+  get outlastsDrain(): boolean {
+    const cutOffMs = this.options.context.drainDeadlineMs();
     return cutOffMs !== undefined && this.options.deadlineMs > cutOffMs;
   }
 
   /** Of what a full queue would hold until its caller gives up. */
-  byQueue(runnerId: string): QueueRefusal | undefined {
+  checkQueue(runnerId: string): QueueRefusal | undefined {
     const {context, request, route, startedMs} = this.options;
     if (request.model === undefined) return undefined;
     const view = {
-      workAhead: context.states.workAhead(runnerId, route.priority),
-      workPerSecond: context.states.workPerSecond(runnerId),
-      openRequests: context.states.openRequests(runnerId),
+      workAhead: context.runnerStates.workAhead(runnerId, route.priority),
+      workPerSecond: context.runnerStates.workPerSecond(runnerId),
+      openRequests: context.runnerStates.openRequests(runnerId),
       slots: this.slotsOf(runnerId),
       ...this.left(),
       targetLeftMs: startedMs + route.targetMs - context.clock.nowMs(),
@@ -63,10 +63,10 @@
   }
 
   /** Of what its copy would reach only after its caller has given up. */
-  withoutCopy(): CopyRefusal | undefined {
+  checkCopyWait(): CopyRefusal | undefined {
     const {context, request} = this.options;
     if (request.model === undefined) return undefined;
-    const copyInMs = context.held.copyInMs(request.model);
+    const copyInMs = context.heldCopies.copyInMs(request.model);
     const view = {...this.left(), copyInMs};
     const decision = decideWait(view);
     return decision.kind === 'refuse' ? {view, decision} : undefined;
@@ -79,7 +79,11 @@
   }
 
   private left(): {leftMs: number; deadlineLeftMs: number} {
-    const {context, deadlineMs, leavesMs} = this.options;
+    const {
+      context,
+      deadlineMs,
+      responseStartDeadlineMs: leavesMs,
+    } = this.options;
     const nowMs = context.clock.nowMs();
     return {leftMs: leavesMs - nowMs, deadlineLeftMs: deadlineMs - nowMs};
   }
--- a/packages/banyanfold-gateway/src/requests/attempt.ts
+++ b/packages/banyanfold-gateway/src/requests/attempt.ts
@@ -1,25 +1,25 @@
 import type {Dispatcher} from 'undici';
 import type {RunnerConnection} from '../runners/runnerConnections.js';
-import type {AnswerHeaders} from '../types.js';
+import type {ResponseHeaders} from '../types.js';
 
 const HAS_NO_BODY_METHODS = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS']);
 
 /** What is sent to a runner. */
-export interface AttemptMessage {
+export interface AttemptRequest {
   method: string;
   target: string;
   headers: string[];
   body: Buffer;
 }
 
-export interface AnswerHead {
+export interface ResponseHead {
   status: number;
-  headers: AnswerHeaders;
+  headers: ResponseHeaders;
 }
 
 /** Receives one answer as it comes. */
 export interface AttemptObserver {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   /** Returns false to pause until `resume`. */
   onData(chunk: Buffer): boolean;
   onEnd(): void;
@@ -40,7 +40,7 @@
     private readonly observer: AttemptObserver,
   ) {}
 
-  send({method, target, headers, body}: AttemptMessage): void {
+  send({method, target, headers, body}: AttemptRequest): void {
     const hasBody = body.length > 0 || !HAS_NO_BODY_METHODS.has(method);
     this.connection.dispatch(
       {
--- a/packages/banyanfold-gateway/src/requests/decideNextTry.ts
+++ b/packages/banyanfold-gateway/src/requests/decideRequestRetry.ts
@@ -1,25 +1,25 @@
 import {decideRetry, type RetryDecision} from '@banyanfold/decisions';
 import type {GatewayContext} from '../context.js';
 import type {RoutePolicy} from '../types.js';
-import type {AttemptResult} from './answerRelay.js';
+import type {AttemptResult} from './responseRelay.js';
 
 /** Tries of one request that runners turned away without running it. */
 const MAX_REJECTIONS = 6;
 
 /** Where a request stands after a try that brought no answer. */
-export interface TryState {
+export interface RetryState {
   result: AttemptResult;
   attemptsMade: number;
   rejections: number;
   mayHaveRun: boolean;
   /** A part of an answer went to the caller. */
-  hasBegun: boolean;
+  hasStarted: boolean;
   deadlineMs: number;
   budgetTokens: number;
 }
 
-export interface NextTry {
-  goesOn: boolean;
+export interface RequestRetryDecision {
+  shouldRetry: boolean;
   /** What was decided and why, for the log. */
   decision: {kind: string; reason: string};
 }
@@ -29,17 +29,17 @@
  * by the budget that all requests of its service share. A runner that was never
  * reached got nothing, so that trying elsewhere takes nothing from the budget.
  */
-export function decideNextTry(
+export function decideRequestRetry(
   {clock, options, random}: GatewayContext,
   route: RoutePolicy,
-  state: TryState,
-): NextTry {
+  state: RetryState,
+): RequestRetryDecision {
   const nowMs = clock.nowMs();
   const decision: RetryDecision = decideRetry(
     {
       attemptsMade: state.attemptsMade,
       budgetTokens: state.result.kind === 'unreached' ? 1 : state.budgetTokens,
-      firstByteSent: state.hasBegun && !route.resumable,
+      firstByteSent: state.hasStarted && !route.resumable,
       allNeverStarted: !state.mayHaveRun,
       repeatable: route.kind === 'idempotent' || route.resumable,
       remainingBudgetMs: state.deadlineMs - nowMs,
@@ -55,7 +55,7 @@
   );
   if (state.rejections > MAX_REJECTIONS) {
     const reason = 'turned-away-too-often';
-    return {goesOn: false, decision: {kind: 'stop', reason}};
+    return {shouldRetry: false, decision: {kind: 'stop', reason}};
   }
-  return {goesOn: decision.kind !== 'stop', decision};
+  return {shouldRetry: decision.kind !== 'stop', decision};
 }
--- a/packages/banyanfold-gateway/src/requests/finalAnswer.ts
+++ b/packages/banyanfold-gateway/src/requests/errorResponse.ts
@@ -3,7 +3,7 @@
 const MS_PER_SECOND = 1000;
 
 /** What the gateway itself answers, with what each promises the caller. */
-export const FINAL_STATUS = {
+export const ERROR_STATUS = {
   /** Has not run and never will. */
   notRun: 503,
   /** A runner failed or fell silent; it may have run. */
@@ -18,7 +18,7 @@
   overCap: 429,
 } as const;
 
-export interface FinalAnswer {
+export interface ErrorResponse {
   status: number;
   reason: string;
   /** When the caller may come back, for what has not run. */
@@ -26,9 +26,9 @@
 }
 
 /** Ends a request with an answer of the gateway's own. */
-export function sendFinalAnswer(
+export function sendErrorResponse(
   response: ServerResponse,
-  {status, reason, retryAfterMs}: FinalAnswer,
+  {status, reason, retryAfterMs}: ErrorResponse,
   closeConnection: boolean,
 ): void {
   const body = JSON.stringify({error: {code: reason}});
--- a/packages/banyanfold-gateway/src/requests/eventSplitter.ts
+++ b/packages/banyanfold-gateway/src/requests/eventSplitter.ts
@@ -3,7 +3,7 @@
 const ID_FIELD = 'id:';
 
 /** Whole events, and the id of the last of them that has one. */
-export interface WholeEvents {
+export interface CompleteEvents {
   bytes: Buffer;
   count: number;
   lastEventId?: string;
@@ -23,7 +23,7 @@
   }
 
   /** @example splitter.push(Buffer.from('id: 1\ndata: a\n\n'))?.lastEventId */
-  push(chunk: Buffer): WholeEvents | undefined {
+  push(chunk: Buffer): CompleteEvents | undefined {
     const bytes =
       this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
     const end = endOfLastEvent(bytes);
@@ -48,7 +48,7 @@
   return 0;
 }
 
-function describe(bytes: Buffer): WholeEvents {
+function describe(bytes: Buffer): CompleteEvents {
   const lines = bytes.toString('latin1').split('\n');
   let lastEventId: string | undefined;
   let count = 0;
--- a/packages/banyanfold-gateway/src/requests/readBody.ts
+++ b/packages/banyanfold-gateway/src/requests/readBody.ts
@@ -1,13 +1,13 @@
 import type {IncomingMessage} from 'node:http';
 
 /** Why a body couldn't be read. */
-export type BodyProblem = 'too-large' | 'broken-off';
+export type BodyReadError = 'too-large' | 'broken-off';
 
 /** Reads a whole body, so that it can be sent to a second runner. */
 export function readBody(
   request: IncomingMessage,
   maxBytes: number,
-): Promise<Buffer | BodyProblem> {
+): Promise<Buffer | BodyReadError> {
   return new Promise(resolve => {
     const chunks: Buffer[] = [];
     let bytes = 0;
--- a/packages/banyanfold-gateway/src/requests/requestFingerprint.ts
+++ b/packages/banyanfold-gateway/src/requests/requestFingerprint.ts
@@ -4,7 +4,7 @@
 const FINGERPRINT_DIGITS = 16;
 
 /** What reaches the runner each time that a caller sends a request again. */
-export interface RepeatedContent {
+export interface FingerprintInput {
   method: string;
   host: string;
   /** Path and query. */
@@ -22,7 +22,7 @@
  * fingerprintOf({method: 'GET', host: 'a', target: '/x',
  *   body: Buffer.alloc(0)}) // 16 hexadecimal digits
  */
-export function fingerprintOf(content: RepeatedContent): string {
+export function fingerprintOf(content: FingerprintInput): string {
   const {method, host, target, body} = content;
   const hash = createHash('sha256');
   // No part holds a line feed, so that parts can't be taken for one another.
--- a/packages/banyanfold-gateway/src/requests/requestRun.ts
+++ b/packages/banyanfold-gateway/src/requests/requestHandler.ts
@@ -7,15 +7,15 @@
 import type {StartedWork} from '../runners/runnerStates.js';
 import type {CallerIdentity} from '../callers/callerIdentity.js';
 import type {DecodedRequest, Organisation, RoutePolicy} from '../types.js';
-import {AnswerRelay, type AttemptResult} from './answerRelay.js';
-import {decideNextTry} from './decideNextTry.js';
-import {FINAL_STATUS, sendFinalAnswer} from './finalAnswer.js';
-import {OwnRefusals} from './ownRefusals.js';
+import {ResponseRelay, type AttemptResult} from './responseRelay.js';
+import {decideRequestRetry} from './decideRequestRetry.js';
+import {ERROR_STATUS, sendErrorResponse} from './errorResponse.js';
+import {AdmissionChecks} from './admissionChecks.js';
 import {pickService} from './pickService.js';
 import {fingerprintOf} from './requestFingerprint.js';
-import {Suspicion} from './suspicion.js';
+import {SuspectStatus} from './suspectStatus.js';
 import {chooseRetryAfterMs, MIN_RETRY_AFTER_MS} from './retryAfter.js';
-import {RequestLog, type TryCounts} from './requestLog.js';
+import {RequestLog, type AttemptCounts} from './requestLog.js';
 import {TargetChooser, type Target} from './targetChooser.js';
 import {UsageCharge} from './usageCharge.js';
 import {WakeablePause} from './wakeablePause.js';
@@ -40,7 +40,7 @@
  * goes all the same, and the runner's own order decides.
  */
 const TURN_WAIT_SHARE = 0.25;
-export interface RequestRunOptions {
+export interface RequestHandlerOptions {
   context: GatewayContext;
   request: IncomingMessage;
   response: ServerResponse;
@@ -56,7 +56,7 @@
 }
 
 /** Carries one request of a caller to its one final answer. */
-export class RequestRun {
+export class RequestHandler {
   private readonly deadlineMs: number;
   /**
    * Its caller leaves then if no event has come. Held to its deadline instead,
@@ -66,12 +66,12 @@
   private readonly leavesMs: number;
   private readonly service: string;
   private readonly started: StartedWork;
-  private readonly relay: AnswerRelay;
+  private readonly relay: ResponseRelay;
   private readonly targets: TargetChooser;
   private readonly log: RequestLog;
   private readonly fingerprint: string;
-  private readonly suspicion: Suspicion;
-  private readonly refusals: OwnRefusals;
+  private readonly suspicion: SuspectStatus;
+  private readonly refusals: AdmissionChecks;
   private readonly charge: UsageCharge;
   private timer: Timer | undefined;
   private readonly pause: WakeablePause;
@@ -85,7 +85,7 @@
   private nextPauseMs = 0;
   private turn: PromptTurn | undefined;
 
-  constructor(private readonly options: RequestRunOptions) {
+  constructor(private readonly options: RequestHandlerOptions) {
     const {context, request, route, decoded, body, startedMs, response} =
       options;
     const waitMs = Math.min(
@@ -120,7 +120,7 @@
       target: request.url ?? '/',
       body,
     });
-    this.suspicion = new Suspicion(context, this.fingerprint);
+    this.suspicion = new SuspectStatus(context, this.fingerprint);
     this.log = new RequestLog({
       context,
       decoded,
@@ -135,15 +135,15 @@
       organisation: options.organisation,
       log: this.log,
     });
-    this.refusals = new OwnRefusals({
+    this.refusals = new AdmissionChecks({
       context,
       request: decoded.request,
       route,
       startedMs,
       deadlineMs: this.deadlineMs,
-      leavesMs: this.leavesMs,
+      responseStartDeadlineMs: this.leavesMs,
     });
-    this.relay = new AnswerRelay({
+    this.relay = new ResponseRelay({
       context,
       route,
       response,
@@ -155,7 +155,7 @@
 
   /** A runner works on it, or may have. */
   private get isTried(): boolean {
-    return this.relay.isSent || this.relay.hasBegun || this.mayHaveRun;
+    return this.relay.isSent || this.relay.hasStarted || this.mayHaveRun;
   }
 
   /** A key may have moved to another one since the request came. */
@@ -164,7 +164,7 @@
     return caller.kind === 'admitted' ? caller.organisation : undefined;
   }
 
-  private get counts(): TryCounts {
+  private get counts(): AttemptCounts {
     const {attemptsMade, rejections, mayHaveRun} = this;
     return {attemptsMade, rejections, mayHaveRun};
   }
@@ -180,10 +180,10 @@
       const urgency = urgencyOf(this.options.route.priority, leastUrgent);
       const tokens = {promptTokens, maxOutputTokens};
       context.demand.noteArrival({model, adapter, urgency, ...tokens});
-      context.coming.note(model, this.started.work.read);
+      context.workForecast.note(model, this.started.work.prefill);
     }
     context.retryBudgetOf(this.service).noteAttempt();
-    if (this.refusals.isTooLate) return this.refuse('leaving');
+    if (this.refusals.outlastsDrain) return this.refuse('leaving');
     const leftMs = this.deadlineMs - context.clock.nowMs();
     this.timer = context.clock.setTimer(leftMs, () => this.onDeadline());
     const leavesInMs = this.leavesMs - context.clock.nowMs();
@@ -242,12 +242,12 @@
     const freeInMs = this.targets.rateLimitedForMs();
     if (freeInMs === undefined) return this.park();
     // What another runner may have begun can't be refused any more.
-    if (this.relay.hasBegun || this.mayHaveRun) {
+    if (this.relay.hasStarted || this.mayHaveRun) {
       return this.pause.wait(freeInMs);
     }
     const retryAfterMs = Math.max(freeInMs, MIN_RETRY_AFTER_MS);
     this.log.refuseByRateLimit(this.service, retryAfterMs);
-    this.answer(FINAL_STATUS.notRun, 'runner-limit', retryAfterMs);
+    this.answer(ERROR_STATUS.notRun, 'runner-limit', retryAfterMs);
   }
 
   /**
@@ -257,7 +257,7 @@
    */
   private async stepAlone(): Promise<void> {
     const {context} = this.options;
-    const runnerIds = this.targets.byOpenWork();
+    const runnerIds = this.targets.eligibleByOpenWork();
     if (runnerIds.length === 0) return this.waitForRunner();
     const runnerId = await context.permitTrial({
       fingerprint: this.fingerprint,
@@ -275,9 +275,9 @@
 
   /** Refuses what goes beyond the usage cap of its organisation. */
   private isOverCap(): boolean {
-    const retryAfterMs = this.charge.take();
+    const retryAfterMs = this.charge.charge();
     if (retryAfterMs === undefined) return false;
-    this.answer(FINAL_STATUS.overCap, 'usage-cap', retryAfterMs);
+    this.answer(ERROR_STATUS.overCap, 'usage-cap', retryAfterMs);
     return true;
   }
 
@@ -285,13 +285,13 @@
   private isShutOut(): boolean {
     const caller = this.options.identity.decide();
     if (caller.kind === 'admitted') return false;
-    if (this.relay.hasBegun) {
+    if (this.relay.hasStarted) {
       this.options.response.destroy();
       this.finish('cut', 0);
     } else if (caller.kind === 'unauthorized') {
-      this.answer(FINAL_STATUS.unauthorized, caller.reason);
+      this.answer(ERROR_STATUS.unauthorized, caller.reason);
     } else if (this.mayHaveRun) {
-      this.answer(FINAL_STATUS.unknown, 'config-stale');
+      this.answer(ERROR_STATUS.unknown, 'config-stale');
     } else {
       this.refuse('config-stale');
     }
@@ -302,32 +302,32 @@
   private endQuarantined(): void {
     const {quarantinedForMs} = this.suspicion;
     this.log.refuseQuarantined(this.fingerprint, quarantinedForMs);
-    if (this.relay.hasBegun) {
+    if (this.relay.hasStarted) {
       this.options.response.destroy();
       this.finish('cut', 0);
     } else if (this.mayHaveRun) {
-      this.answer(FINAL_STATUS.unknown, 'quarantined');
+      this.answer(ERROR_STATUS.unknown, 'quarantined');
     } else {
-      this.answer(FINAL_STATUS.notRun, 'quarantined', quarantinedForMs);
+      this.answer(ERROR_STATUS.notRun, 'quarantined', quarantinedForMs);
     }
   }
 
   /** Refuses what a full queue would hold until its caller gives up. */
   private isTurnedAway({runner}: Target): boolean {
-    if (this.relay.hasBegun) return false;
-    const refusal = this.refusals.byQueue(runner.runnerId);
+    if (this.relay.hasStarted) return false;
+    const refusal = this.refusals.checkQueue(runner.runnerId);
     if (!refusal) return false;
     const {decision} = refusal;
     this.log.refuseByQueue(runner.runnerId, refusal);
-    if (this.mayHaveRun) this.answer(FINAL_STATUS.unknown, 'runner-failed');
-    else this.answer(FINAL_STATUS.notRun, 'queue', decision.retryAfterMs);
+    if (this.mayHaveRun) this.answer(ERROR_STATUS.unknown, 'runner-failed');
+    else this.answer(ERROR_STATUS.notRun, 'queue', decision.retryAfterMs);
     return true;
   }
 
   /** Waits for a copy of the model, or for a runner at all. */
   private async park(): Promise<void> {
     const {context} = this.options;
-    if (!this.hasWaited) this.log.wait(this.targets.counts());
+    if (!this.hasWaited) this.log.wait(this.targets.candidateCounts());
     this.hasWaited = true;
     if (this.isWaitInVain()) return;
     this.noteWaiting();
@@ -338,12 +338,12 @@
 
   /** Refuses what its copy would reach only after its caller has given up. */
   private isWaitInVain(): boolean {
-    if (this.relay.hasBegun || this.mayHaveRun) return false;
-    const refusal = this.refusals.withoutCopy();
+    if (this.relay.hasStarted || this.mayHaveRun) return false;
+    const refusal = this.refusals.checkCopyWait();
     if (!refusal) return false;
     this.log.refuseWithoutCopy(refusal);
     const {retryAfterMs} = refusal.decision;
-    this.answer(FINAL_STATUS.notRun, 'no-copy-in-time', retryAfterMs);
+    this.answer(ERROR_STATUS.notRun, 'no-copy-in-time', retryAfterMs);
     return true;
   }
 
@@ -381,11 +381,14 @@
     const {context, route, decoded} = this.options;
     const {runner} = target;
     this.noteNotWaiting();
-    const aheadWork = context.states.workAhead(runner.runnerId, route.priority);
-    context.states.noteStart(runner.runnerId, this.service, this.started);
+    const aheadWork = context.runnerStates.workAhead(
+      runner.runnerId,
+      route.priority,
+    );
+    context.runnerStates.noteStart(runner.runnerId, this.service, this.started);
     const isPrompt = decoded.request.model !== undefined;
     this.turn = isPrompt
-      ? context.gate.enter(
+      ? context.promptGate.enter(
           runner.runnerId,
           route.priority,
           this.options.startedMs,
@@ -398,7 +401,7 @@
     const isUsable = mayGo && !this.isOver && !this.isShutOut();
     if (!isUsable || !this.targets.isStillUsable(runner)) {
       this.turn?.giveBack();
-      context.states.noteEnd(runner.runnerId, this.started, false);
+      context.runnerStates.noteEnd(runner.runnerId, this.started, false);
       return undefined;
     }
     return this.send(target, aheadWork);
@@ -433,13 +436,13 @@
       },
       {
         runnerId: runner.runnerId,
-        onFacts: facts =>
+        onResponseInfo: facts =>
           context.rateLimits.noteAnswer(runner.runnerId, facts, nowMs),
         onFirstByte: () => {
           wasRead = true;
           this.turn?.giveBack();
           const tookMs = context.clock.nowMs() - nowMs;
-          context.states.noteRead(runner.runnerId, this.started, {
+          context.runnerStates.noteRead(runner.runnerId, this.started, {
             aheadWork,
             tookMs,
           });
@@ -447,8 +450,8 @@
       },
     );
     this.turn?.giveBack();
-    context.states.noteEnd(runner.runnerId, this.started, wasRead);
-    if (result.kind === 'broken' && result.isCutOff) {
+    context.runnerStates.noteEnd(runner.runnerId, this.started, wasRead);
+    if (result.kind === 'broken' && result.isClosedByRunner) {
       context.crashWatch.noteCutOff(runner, this.fingerprint);
     }
     if (result.kind === 'delivered' || result.kind === 'rejected') {
@@ -468,7 +471,7 @@
       case 'delivered':
         this.suspicion.noteAnswered();
         this.notePace(runnerId);
-        context.states.noteOutcome(
+        context.runnerStates.noteOutcome(
           runnerId,
           result.isSuccess,
           result.firstByteMs,
@@ -476,12 +479,12 @@
         this.finish('answered', result.status);
         return;
       case 'unreached':
-        context.states.noteUnreachable(runnerId, this.service);
+        context.runnerStates.noteUnreachable(runnerId, this.service);
         this.again(target, result);
         return;
       case 'rejected':
         if (result.fromOtherRunner) {
-          context.states.noteUnreachable(runnerId, this.service);
+          context.runnerStates.noteUnreachable(runnerId, this.service);
         } else {
           this.noteRejection(target, result.status);
         }
@@ -492,7 +495,7 @@
         if (result.kind === 'failed') this.suspicion.noteAnswered();
         this.attemptsMade += 1;
         this.mayHaveRun = true;
-        context.states.noteOutcome(runnerId, false);
+        context.runnerStates.noteOutcome(runnerId, false);
         this.again(target, result);
         return;
       default:
@@ -505,7 +508,7 @@
     const {longestPauseMs} = this.relay;
     const {pauseTargetMs} = route;
     if (longestPauseMs === undefined || pauseTargetMs === undefined) return;
-    context.gate.notePace(runnerId, {longestPauseMs, pauseTargetMs});
+    context.promptGate.notePace(runnerId, {longestPauseMs, pauseTargetMs});
   }
 
   private noteRejection({runner, needsAdapter}: Target, status: number): void {
@@ -513,7 +516,7 @@
     const {model, adapter} = decoded.request;
     const isAbsent = status === MISDIRECTED;
     if (isAbsent && model !== undefined) {
-      context.held.noteAbsent(
+      context.heldCopies.noteAbsent(
         runner.runnerId,
         model,
         needsAdapter || adapter !== undefined ? adapter : undefined,
@@ -529,10 +532,10 @@
     if (wasTurnedAway) this.rejections += 1;
     this.targets.noteRejected(runner.runnerId);
     const budget = context.retryBudgetOf(this.service);
-    const {goesOn, decision} = decideNextTry(context, route, {
+    const {shouldRetry: goesOn, decision} = decideRequestRetry(context, route, {
       result,
       ...this.counts,
-      hasBegun: this.relay.hasBegun,
+      hasStarted: this.relay.hasStarted,
       deadlineMs: this.deadlineMs,
       budgetTokens: budget.available,
     });
@@ -560,17 +563,17 @@
 
   private fail(result: AttemptResult): void {
     const {response} = this.options;
-    if (result.kind === 'failed' && !this.relay.hasBegun) {
+    if (result.kind === 'failed' && !this.relay.hasStarted) {
       this.relay.deliverFailure(result);
       this.finish('runner-failure', result.status);
       return;
     }
-    if (this.relay.hasBegun) {
+    if (this.relay.hasStarted) {
       response.destroy();
       this.finish('cut', 0);
       return;
     }
-    if (this.mayHaveRun) this.answer(FINAL_STATUS.unknown, 'runner-failed');
+    if (this.mayHaveRun) this.answer(ERROR_STATUS.unknown, 'runner-failed');
     else this.refuse('no-place');
   }
 
@@ -578,16 +581,16 @@
     const leftMs = this.deadlineMs - this.options.context.clock.nowMs();
     const {random} = this.options.context;
     const retryAfterMs = chooseRetryAfterMs(leftMs, random);
-    this.answer(FINAL_STATUS.notRun, reason, retryAfterMs);
+    this.answer(ERROR_STATUS.notRun, reason, retryAfterMs);
   }
 
   private answer(status: number, reason: string, retryAfterMs?: number): void {
     const {response, context} = this.options;
     this.finish(reason, status);
-    sendFinalAnswer(
+    sendErrorResponse(
       response,
       {status, reason, retryAfterMs},
-      context.isLeaving(),
+      context.isDraining(),
     );
   }
 
@@ -606,15 +609,15 @@
   private onDeadline(): void {
     if (this.isOver) return;
     const wasSent = this.relay.cancel();
-    if (this.relay.hasBegun) {
+    if (this.relay.hasStarted) {
       this.options.response.destroy();
       this.finish('cut-at-deadline', 0);
       return;
     }
     if (wasSent || this.mayHaveRun) {
-      this.answer(FINAL_STATUS.timeout, 'timeout');
+      this.answer(ERROR_STATUS.timeout, 'timeout');
     } else {
-      this.answer(FINAL_STATUS.notRun, 'no-copy-in-time', MIN_RETRY_AFTER_MS);
+      this.answer(ERROR_STATUS.notRun, 'no-copy-in-time', MIN_RETRY_AFTER_MS);
     }
   }
 
@@ -628,7 +631,7 @@
     if (this.isOver) return;
     this.isOver = true;
     // Each sending was turned away, or reached nobody.
-    if (this.sendings <= this.rejections) this.charge.giveBack();
+    if (this.sendings <= this.rejections) this.charge.refund();
     this.noteNotWaiting();
     this.turn?.giveBack();
     this.pause.wake();
--- a/packages/banyanfold-gateway/src/requests/requestLog.ts
+++ b/packages/banyanfold-gateway/src/requests/requestLog.ts
@@ -1,8 +1,8 @@
 import type {UsageDecision} from '@banyanfold/decisions';
 import type {GatewayContext} from '../context.js';
 import type {DecodedRequest, RoutePolicy} from '../types.js';
-import type {AttemptResult} from './answerRelay.js';
-import type {CopyRefusal, QueueRefusal} from './ownRefusals.js';
+import type {AttemptResult} from './responseRelay.js';
+import type {CopyRefusal, QueueRefusal} from './admissionChecks.js';
 import type {CandidateCounts, Target} from './targetChooser.js';
 
 export interface RequestLogOptions {
@@ -16,14 +16,14 @@
 }
 
 /** How often a request was tried, and what is known of it. */
-export interface TryCounts {
+export interface AttemptCounts {
   attemptsMade: number;
   rejections: number;
   mayHaveRun: boolean;
 }
 
 /** How an answer came; undefined for what did not. */
-export interface AnswerPace {
+export interface ResponseTiming {
   firstByteMs?: number;
   /** Between two events of a stream. */
   longestPauseMs?: number;
@@ -33,7 +33,7 @@
 export class RequestLog {
   constructor(private readonly options: RequestLogOptions) {}
 
-  route(target: Target, counts: TryCounts, isReused: boolean): void {
+  route(target: Target, counts: AttemptCounts, isReused: boolean): void {
     const {context, route, startedMs} = this.options;
     const {runner, reason} = target;
     const {model, adapter} = this.options.decoded.request;
@@ -46,7 +46,7 @@
       attempt: counts.attemptsMade + 1,
       rejections: counts.rejections,
       reason,
-      openWork: context.states.openWork(runner.runnerId).toFixed(1),
+      openWork: context.runnerStates.openWork(runner.runnerId).toFixed(1),
       copiesAgeMs: this.copiesAgeMs(),
       heartbeat: runner.heartbeatNumber,
       config: context.view.current?.version,
@@ -75,7 +75,7 @@
   private copiesAgeMs(): number | undefined {
     const {context, decoded} = this.options;
     if (decoded.request.model === undefined) return undefined;
-    const {ageMs} = context.held;
+    const {ageMs} = context.heldCopies;
     if (!Number.isFinite(ageMs)) return undefined;
     context.metrics.observeMs('copies_age_ms', ageMs);
     return Math.round(ageMs);
@@ -99,7 +99,7 @@
       reason: 'no-copy-in-time',
       model: decoded.request.model,
       copyInMs: Math.round(view.copyInMs ?? 0),
-      copiesAgeMs: Math.round(context.held.ageMs),
+      copiesAgeMs: Math.round(context.heldCopies.ageMs),
       leftMs: Math.round(view.leftMs),
       retryAfterMs: Math.round(decision.retryAfterMs),
     });
@@ -116,7 +116,7 @@
       organisation,
       asked,
       left: Math.round(left),
-      toldAgeMs: context.usage.toldAgeMs,
+      toldAgeMs: context.usage.fleetUsageAgeMs,
       config: context.view.current?.version,
       retryAfterMs: Math.round(retryAfterMs),
     });
@@ -160,8 +160,8 @@
   end(
     outcome: string,
     status: number,
-    counts: TryCounts,
-    pace: AnswerPace,
+    counts: AttemptCounts,
+    pace: ResponseTiming,
   ): void {
     const {context, route, startedMs} = this.options;
     this.line('request-end', {
--- a/packages/banyanfold-gateway/src/requests/answerRelay.ts
+++ b/packages/banyanfold-gateway/src/requests/responseRelay.ts
@@ -2,19 +2,19 @@
 import type {GatewayContext} from '../context.js';
 import type {RunnerConnection} from '../runners/runnerConnections.js';
 import type {
-  AnswerFacts,
-  AnswerHeaders,
+  ResponseInfo,
+  ResponseHeaders,
   DecodedRequest,
   RoutePolicy,
 } from '../types.js';
 import {
   Attempt,
-  type AnswerHead,
-  type AttemptMessage,
+  type ResponseHead,
+  type AttemptRequest,
   type AttemptObserver,
 } from './attempt.js';
 import {EventSplitter} from './eventSplitter.js';
-import {framingOf, type Framing} from './wholeness.js';
+import {framingOf, type Framing} from './responseFraming.js';
 
 const HAS_NO_BODY_STATUS = new Set([204, 304]);
 
@@ -28,7 +28,7 @@
       canReuse: boolean;
     }
   /** The runner's own failure, whole; not yet given to the caller. */
-  | {kind: 'failed'; status: number; headers: AnswerHeaders; body: Buffer}
+  | {kind: 'failed'; status: number; headers: ResponseHeaders; body: Buffer}
   /** The runner vouches that it did not run it. */
   | {
       kind: 'rejected';
@@ -43,18 +43,18 @@
       kind: 'broken';
       error: string;
       /** The runner's side ended the connection; it may have crashed. */
-      isCutOff: boolean;
+      isClosedByRunner: boolean;
     };
 
 /** Who is asked, and who wants to know of the answer's begin. */
-export interface AttemptTracking {
+export interface AttemptHooks {
   runnerId: string;
   onFirstByte(): void;
   /** The head of an answer, which the runner vouches for or not. */
-  onFacts(facts: AnswerFacts): void;
+  onResponseInfo(facts: ResponseInfo): void;
 }
 
-export interface AnswerRelayOptions {
+export interface ResponseRelayOptions {
   context: GatewayContext;
   route: RoutePolicy;
   response: ServerResponse;
@@ -64,8 +64,8 @@
 
 /** One answer on its way from a runner. */
 interface Incoming {
-  head: AnswerHead;
-  facts: AnswerFacts;
+  head: ResponseHead;
+  facts: ResponseInfo;
   framing: Framing;
   /** Goes on event by event; else it is gathered first. */
   isStreamed: boolean;
@@ -78,8 +78,8 @@
  * Passes answers on: a stream event by event, anything else once it is whole,
  * so that a caller never takes a part for the whole answer.
  */
-export class AnswerRelay {
-  hasBegun = false;
+export class ResponseRelay {
+  hasStarted = false;
   firstByteMs: number | undefined;
   lastEventId: string | undefined;
   /** Between two events that went on to the caller. */
@@ -87,18 +87,18 @@
   private lastEventAtMs: number | undefined;
   private current: {attempt: Attempt; abandon: () => void} | undefined;
 
-  constructor(private readonly options: AnswerRelayOptions) {}
+  constructor(private readonly options: ResponseRelayOptions) {}
 
   /** A runner has the request, or part of an answer went to the caller. */
   get isSent(): boolean {
-    return this.hasBegun || (this.current?.attempt.mayHaveRun ?? false);
+    return this.hasStarted || (this.current?.attempt.mayHaveRun ?? false);
   }
 
   /** Sends the request and settles when its answer ended, either way. */
   relay(
     connection: RunnerConnection,
-    message: AttemptMessage,
-    tracking: AttemptTracking,
+    message: AttemptRequest,
+    tracking: AttemptHooks,
   ): Promise<AttemptResult> {
     return new Promise(resolve => {
       const settle = (result: AttemptResult) => {
@@ -126,7 +126,7 @@
   /** Gives the caller a runner's own failure, as it was. */
   deliverFailure(result: {
     status: number;
-    headers: AnswerHeaders;
+    headers: ResponseHeaders;
     body: Buffer;
   }): void {
     this.sendWhole(result.status, result.headers, result.body);
@@ -135,7 +135,7 @@
   private observe(
     connection: RunnerConnection,
     settle: (result: AttemptResult) => void,
-    tracking: AttemptTracking,
+    tracking: AttemptHooks,
   ): AttemptObserver {
     const splitter = new EventSplitter();
     const sentMs = this.options.context.clock.nowMs();
@@ -147,7 +147,7 @@
     return {
       onHead: head => {
         incoming = this.judgeHead(head, sentMs, tracking.runnerId);
-        tracking.onFacts(incoming.facts);
+        tracking.onResponseInfo(incoming.facts);
         if (!incoming.facts.notExecuted) tracking.onFirstByte();
         const flaw = this.flawOf(incoming.facts);
         if (flaw !== undefined) return fail(flaw);
@@ -188,12 +188,12 @@
   }
 
   private judgeHead(
-    head: AnswerHead,
+    head: ResponseHead,
     sentMs: number,
     runnerId: string,
   ): Incoming {
     const {context, route} = this.options;
-    const facts = context.codec.decodeAnswer(
+    const facts = context.codec.decodeResponse(
       head.status,
       head.headers,
       runnerId,
@@ -213,7 +213,7 @@
   }
 
   /** What shows by the head that an answer isn't this request's. */
-  private flawOf({requestId, encoded}: AnswerFacts): string | undefined {
+  private flawOf({requestId, encoded}: ResponseInfo): string | undefined {
     const expected = this.options.decoded.request.requestId;
     if (requestId !== undefined && requestId !== expected) {
       return 'answer of another request';
@@ -222,14 +222,14 @@
   }
 
   /** The first answer's head stays when another runner goes on. */
-  private begin({status, headers}: AnswerHead): void {
-    if (this.hasBegun) return;
-    this.hasBegun = true;
+  private begin({status, headers}: ResponseHead): void {
+    if (this.hasStarted) return;
+    this.hasStarted = true;
     const {response, context, startedMs} = this.options;
     this.firstByteMs = Math.round(context.clock.nowMs() - startedMs);
-    const passed = context.codec.passedAnswerHeaders(headers);
+    const passed = context.codec.forwardedResponseHeaders(headers);
     delete passed['content-length'];
-    if (context.isLeaving()) passed['connection'] = 'close';
+    if (context.isDraining()) passed['connection'] = 'close';
     response.writeHead(status, passed);
     response.flushHeaders();
   }
@@ -298,15 +298,15 @@
 
   private sendWhole(
     status: number,
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
     body: Buffer,
   ): void {
     const {response, context} = this.options;
-    const passed = context.codec.passedAnswerHeaders(headers);
+    const passed = context.codec.forwardedResponseHeaders(headers);
     if (!HAS_NO_BODY_STATUS.has(status)) {
       passed['content-length'] = String(body.length);
     }
-    if (context.isLeaving()) passed['connection'] = 'close';
+    if (context.isDraining()) passed['connection'] = 'close';
     response.writeHead(status, passed);
     response.end(body);
   }
@@ -314,9 +314,9 @@
 
 /** An answer that this process gave up, or can't take for the runner's. */
 function brokenBy(error: string): AttemptResult {
-  return {kind: 'broken', error, isCutOff: false};
+  return {kind: 'broken', error, isClosedByRunner: false};
 }
 
 function cutOffBy(error: string): AttemptResult {
-  return {kind: 'broken', error, isCutOff: true};
+  return {kind: 'broken', error, isClosedByRunner: true};
 }
--- a/packages/banyanfold-gateway/src/requests/serviceBudgets.ts
+++ b/packages/banyanfold-gateway/src/requests/retryBudgets.ts
@@ -1,7 +1,7 @@
 import type {Clock, Metrics} from '@banyanfold/core';
 import {RetryBudget} from '@banyanfold/log';
 
-export interface ServiceBudgetsOptions {
+export interface RetryBudgetsOptions {
   clock: Clock;
   metrics: Metrics;
   /** Repeats that the deployment allows for each request, and besides. */
@@ -11,7 +11,7 @@
   /** Of what is allowed, the share that is used. */
   usedShare: number;
   /** Entries at work, this one included. */
-  entries(): number;
+  entryCount(): number;
 }
 
 /** Of the slack, what comes back over a window; the rest is there at once. */
@@ -20,10 +20,10 @@
 const MS_PER_SECOND = 1000;
 
 /** This entry's part of the retry budget of each service. */
-export class ServiceBudgets {
+export class RetryBudgets {
   private readonly budgets = new Map<string, RetryBudget>();
 
-  constructor(private readonly options: ServiceBudgetsOptions) {}
+  constructor(private readonly options: RetryBudgetsOptions) {}
 
   /** @example budgets.of('drafting').tryTake() */
   of(service: string): RetryBudget {
@@ -40,8 +40,14 @@
   }
 
   private create(): RetryBudget {
-    const {clock, retryRatio, retrySlack, retryWindowMs, usedShare, entries} =
-      this.options;
+    const {
+      clock,
+      retryRatio,
+      retrySlack,
+      retryWindowMs,
+      usedShare,
+      entryCount: entries,
+    } = this.options;
     const slack = (retrySlack * usedShare) / entries();
     const windowSeconds = retryWindowMs / MS_PER_SECOND;
     return new RetryBudget({
--- a/packages/banyanfold-gateway/src/requests/suspicion.ts
+++ b/packages/banyanfold-gateway/src/requests/suspectStatus.ts
@@ -1,6 +1,6 @@
 import type {CrashVerdict} from '@banyanfold/decisions';
 import type {GatewayContext} from '../context.js';
-import type {AttemptResult} from './answerRelay.js';
+import type {AttemptResult} from './responseRelay.js';
 
 /**
  * A runner's crash is told within this after it cut the request off: one probe
@@ -19,7 +19,7 @@
 ]);
 
 /** Whether one request may crash runners, and how its run as a suspect ends. */
-export class Suspicion {
+export class SuspectStatus {
   constructor(
     private readonly context: GatewayContext,
     private readonly fingerprint: string,
--- a/packages/banyanfold-gateway/src/requests/targetChooser.ts
+++ b/packages/banyanfold-gateway/src/requests/targetChooser.ts
@@ -48,11 +48,11 @@
     const choices = (fresh.length > 0 ? fresh : serving).map(runner => ({
       runnerId: runner.runnerId,
       failureDomain: runner.failureDomain,
-      openWork: context.states.openWork(runner.runnerId),
+      openWork: context.runnerStates.openWork(runner.runnerId),
       hasAdapter: this.hasAdapter(runner.runnerId),
       isSuspect:
-        context.states.isSuspect(runner.runnerId) ||
-        context.gate.isStalled(runner.runnerId),
+        context.runnerStates.isSuspect(runner.runnerId) ||
+        context.promptGate.isStalled(runner.runnerId),
     }));
     const chosen = chooseRunner(
       choices,
@@ -70,8 +70,8 @@
   }
 
   /** Runners that can take the request, the one with the least work first. */
-  byOpenWork(): string[] {
-    const {states} = this.options.context;
+  eligibleByOpenWork(): string[] {
+    const {runnerStates: states} = this.options.context;
     const runnerIds = this.serving()
       .map(({runnerId}) => runnerId)
       .filter(runnerId => !this.isRateLimited(runnerId));
@@ -117,7 +117,7 @@
     return runner !== undefined && !runner.leaving;
   }
 
-  counts(): CandidateCounts {
+  candidateCounts(): CandidateCounts {
     const {context, service} = this.options;
     const staying = this.staying();
     const holding = this.holding(staying);
@@ -130,7 +130,7 @@
   }
 
   private serving(): RunnerRegistration[] {
-    const {held} = this.options.context;
+    const {heldCopies: held} = this.options.context;
     return this.reachable(this.holding(this.staying())).filter(
       ({runnerId}) => this.hasAdapter(runnerId) || held.canFetch(runnerId),
     );
@@ -146,12 +146,12 @@
     const {model} = request;
     if (model === undefined) return runners;
     return runners.filter(({runnerId}) =>
-      context.held.holdsModel(runnerId, model),
+      context.heldCopies.holdsModel(runnerId, model),
     );
   }
 
   private reachable(runners: RunnerRegistration[]): RunnerRegistration[] {
-    const {states} = this.options.context;
+    const {runnerStates: states} = this.options.context;
     return runners.filter(({runnerId}) => !states.isUnreachable(runnerId));
   }
 
@@ -159,7 +159,7 @@
     const {context, request} = this.options;
     const {model, adapter} = request;
     if (model === undefined || adapter === undefined) return true;
-    return context.held.holdsAdapter(runnerId, model, adapter);
+    return context.heldCopies.holdsAdapter(runnerId, model, adapter);
   }
 
   /** What all entries will send until this one hears of it. */
@@ -167,10 +167,14 @@
     const {context, request} = this.options;
     const {model} = request;
     if (model === undefined) return 0;
-    const {ageMs} = context.held;
+    const {ageMs} = context.heldCopies;
     if (!Number.isFinite(ageMs)) return 0;
     const unheardMs = ageMs + context.options.exchangeIntervalMs;
-    return context.coming.within(model, context.entries(), unheardMs);
+    return context.workForecast.expectedWork(
+      model,
+      context.entryCount(),
+      unheardMs,
+    );
   }
 
   /** What the request shares with others; undefined for a plain call. */
@@ -180,7 +184,7 @@
     // The last part is the request's own.
     const shared = promptParts.slice(0, -1);
     const sharedTokens = shared.reduce((sum, {tokens}) => sum + tokens, 0);
-    const {read} = workOf({
+    const {prefill: read} = workOf({
       requests: 1,
       promptTokens: sharedTokens,
       outputTokens: 0,
--- a/packages/banyanfold-gateway/src/requests/usageCharge.ts
+++ b/packages/banyanfold-gateway/src/requests/usageCharge.ts
@@ -22,7 +22,7 @@
    *
    * @returns when the caller may come back, in ms, if it goes beyond the cap.
    */
-  take(): number | undefined {
+  charge(): number | undefined {
     const {context, request, organisation, log} = this.options;
     const cap = organisation?.usageCap;
     if (!cap) return undefined;
@@ -39,10 +39,10 @@
   }
 
   /** No runner ran it. */
-  giveBack(): void {
+  refund(): void {
     if (!this.charged) return;
     const {organisation, amount} = this.charged;
     this.charged = undefined;
-    this.options.context.usage.giveBack(organisation, amount);
+    this.options.context.usage.refund(organisation, amount);
   }
 }
--- a/packages/banyanfold-gateway/src/requests/comingWork.ts
+++ b/packages/banyanfold-gateway/src/requests/workForecast.ts
@@ -11,7 +11,7 @@
  * What this process is asked for, by model, to tell what all entries will send
  * before they hear of each other: each is taken to be asked as often as this one.
  */
-export class ComingWork {
+export class WorkForecast {
   private readonly rates = new Map<string, Rate>();
 
   constructor(private readonly nowMs: () => number) {}
@@ -27,7 +27,7 @@
    *
    * @param forMs from when others' loads were last heard until they are again.
    */
-  within(model: string, entries: number, forMs: number): number {
+  expectedWork(model: string, entries: number, forMs: number): number {
     return (this.perSecond(model) * entries * forMs) / MS_PER_SECOND;
   }
 
--- a/packages/banyanfold-gateway/src/requests/workOf.ts
+++ b/packages/banyanfold-gateway/src/requests/workOf.ts
@@ -1,5 +1,5 @@
 /** What an amount of requests asks for, at most. */
-export interface AskedWork {
+export interface RequestedWork {
   requests: number;
   promptTokens: number;
   outputTokens: number;
@@ -11,9 +11,9 @@
  */
 export interface Work {
   /** Until the first token. */
-  read: number;
+  prefill: number;
   /** From then to the end. */
-  generate: number;
+  decode: number;
 }
 
 const TOKENS_PER_WORK = 1_000;
@@ -32,12 +32,12 @@
  * @example workOf({requests: 1, promptTokens: 8_000, outputTokens: 50})
  * // {read: 8, generate: 0.05}
  */
-export function workOf(asked: AskedWork): Work {
+export function workOf(asked: RequestedWork): Work {
   const {requests, promptTokens, outputTokens} = asked;
-  if (promptTokens === 0) return {read: requests * PLAIN_WORK, generate: 0};
+  if (promptTokens === 0) return {prefill: requests * PLAIN_WORK, decode: 0};
   const generated = outputTokens * READ_TOKENS_PER_OUTPUT_TOKEN;
   return {
-    read: promptTokens / TOKENS_PER_WORK,
-    generate: generated / TOKENS_PER_WORK,
+    prefill: promptTokens / TOKENS_PER_WORK,
+    decode: generated / TOKENS_PER_WORK,
   };
 }
--- a/packages/banyanfold-gateway/src/runners/runnerRateLimits.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerRateLimits.ts
@@ -5,7 +5,7 @@
   type FleetRateUse,
   type RateLimitDecision,
 } from '@banyanfold/decisions';
-import type {AnswerFacts} from '../types.js';
+import type {ResponseInfo} from '../types.js';
 import {RateUseMeter, type RateUse} from './rateUseMeter.js';
 
 /** What a runner last named, as entries tell each other. */
@@ -89,7 +89,7 @@
    * unread for seconds while this process stands still, so that one without a limit
    * tells of no later time than when its request was sent.
    */
-  noteAnswer(runnerId: string, facts: AnswerFacts, sentMs: number): void {
+  noteAnswer(runnerId: string, facts: ResponseInfo, sentMs: number): void {
     const {requestsPerSecond, signed, notExecuted, fromOtherRunner} = facts;
     if (fromOtherRunner || !(signed || notExecuted)) return;
     const isNamed = requestsPerSecond !== undefined;
--- a/packages/banyanfold-gateway/src/runners/runnerStates.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerStates.ts
@@ -119,9 +119,9 @@
 
   noteStart(runnerId: string, service: string, started: StartedWork): void {
     const {priority, work} = started;
-    if (priority !== undefined) this.urgency.note(priority, work.read);
+    if (priority !== undefined) this.urgency.note(priority, work.prefill);
     const state = this.of(runnerId, service);
-    state.openWork += started.work.read + started.work.generate;
+    state.openWork += started.work.prefill + started.work.decode;
     state.openRequests += 1;
     count(state.adaptersInUse, started.adapter, 1);
     count(state.modelsInUse, started.model, 1);
@@ -152,10 +152,10 @@
   ): void {
     const state = this.states.get(runnerId);
     if (!state) return;
-    state.openWork = Math.max(0, state.openWork - work.read);
+    state.openWork = Math.max(0, state.openWork - work.prefill);
     if (aheadWork < MIN_PACE_WORK) return;
     const pace =
-      ((aheadWork + work.read) * MS_PER_SECOND) / Math.max(tookMs, 1);
+      ((aheadWork + work.prefill) * MS_PER_SECOND) / Math.max(tookMs, 1);
     state.workPerSecond += (pace - state.workPerSecond) * PACE_WEIGHT;
   }
 
@@ -163,7 +163,7 @@
   noteEnd(runnerId: string, ended: StartedWork, wasRead: boolean): void {
     const state = this.states.get(runnerId);
     if (!state) return;
-    const {read, generate} = ended.work;
+    const {prefill: read, decode: generate} = ended.work;
     const left = wasRead ? generate : read + generate;
     state.openWork = Math.max(0, state.openWork - left);
     state.openRequests -= 1;
--- a/packages/banyanfold-gateway/src/types.ts
+++ b/packages/banyanfold-gateway/src/types.ts
@@ -211,7 +211,7 @@
 }
 
 /** What an answer's head says. */
-export interface AnswerFacts {
+export interface ResponseInfo {
   requestId?: string;
   /** The runner vouches that the answer is its own. */
   signed: boolean;
@@ -228,19 +228,19 @@
   requestsPerSecond?: number;
 }
 
-export type AnswerHeaders = Record<string, string | string[] | undefined>;
+export type ResponseHeaders = Record<string, string | string[] | undefined>;
 
 /** Translates between the wire's headers and the gateway's fields. */
 export interface RequestCodec {
   decodeRequest(rawHeaders: readonly string[]): DecodedRequest;
   encodeAttempt(decoded: DecodedRequest, fields: AttemptFields): string[];
-  decodeAnswer(
+  decodeResponse(
     status: number,
-    headers: AnswerHeaders,
+    headers: ResponseHeaders,
     runnerId: string,
-  ): AnswerFacts;
+  ): ResponseInfo;
   /** What of an answer's head goes on to the caller. */
-  passedAnswerHeaders(headers: AnswerHeaders): AnswerHeaders;
+  forwardedResponseHeaders(headers: ResponseHeaders): ResponseHeaders;
 }
 
 /** Calls to a runner that are no requests of callers. */
@@ -312,7 +312,7 @@
   holderAddress?: string;
 }
 
-export interface LeaseAnswer {
+export interface JoinResult {
   /** Rises with each change of the group. */
   generation: number;
   owns: boolean;
@@ -320,7 +320,7 @@
 
 /** The group among whose members the store deals the one lease. */
 export interface LeaseStore {
-  join(generation: number): Promise<Result<LeaseAnswer, BanyanfoldError>>;
+  join(generation: number): Promise<Result<JoinResult, BanyanfoldError>>;
   leave(): Promise<Result<void, BanyanfoldError>>;
   /** Address of the member that has it; undefined while none has. */
   owner(): Promise<Result<string | undefined, BanyanfoldError>>;
