--- a/packages/banyanfold-gateway/src/requests/admissionChecks.ts
+++ b/packages/banyanfold-gateway/src/requests/admissionChecks.ts
@@ -15,38 +15,40 @@
   route: RoutePolicy;
   startedMs: number;
   deadlineMs: number;
-  /** When its caller leaves unless an answer has begun. */
+  /** When the caller disconnects unless a response has started. */
   responseStartDeadlineMs: number;
 }
 
-/** A refusal by the queue of a runner, with what decided it. */
+/** A refusal because of a runner's queue, with the view that led to it. */
 export interface QueueRefusal {
   view: SendView;
   decision: Extract<SendDecision, {kind: 'refuse'}>;
 }
 
-/** A refusal for want of a copy, likewise. */
+/** A refusal because of a missing copy, with the view that led to it. */
 export interface CopyRefusal {
   view: WaitView;
   decision: Extract<WaitDecision, {kind: 'refuse'}>;
 }
 
-/** What this process refuses by itself, for a request that no runner has. */
+/** Decides whether this entry refuses a request before any runner has it. */
 export class AdmissionChecks {
   constructor(private readonly options: AdmissionChecksOptions) {}
 
   /**
-   * A balancer with few entries left sends callers here to the end. A stream
-   * that begins when this process is about to go would be cut off half-way;
-   * its caller loses less by asking another entry at once. What ends in any
-   * case before the process does is still served.
+   * Whether the request could outlast this process, which is draining. A balancer
+   * with few entries left sends callers here until the end. A stream that started
+   * now could be cut off, so its caller should try another entry at once.
+   * Requests whose deadline is before the end of the process are still served.
    */
   get outlastsDrain(): boolean {
-    const cutOffMs = this.options.context.drainDeadlineMs();
-    return cutOffMs !== undefined && this.options.deadlineMs > cutOffMs;
+    const drainDeadlineMs = this.options.context.drainDeadlineMs();
+    return (
+      drainDeadlineMs !== undefined && this.options.deadlineMs > drainDeadlineMs
+    );
   }
 
-  /** Of what a full queue would hold until its caller gives up. */
+  /** Refuses a request that would queue at a runner until its caller disconnects. */
   checkQueue(runnerId: string): QueueRefusal | undefined {
     const {context, request, route, startedMs} = this.options;
     if (request.model === undefined) return undefined;
@@ -55,19 +57,19 @@
       workPerSecond: context.runnerStates.workPerSecond(runnerId),
       openRequests: context.runnerStates.openRequests(runnerId),
       slots: this.slotsOf(runnerId),
-      ...this.left(),
+      ...this.remainingTimes(),
       targetLeftMs: startedMs + route.targetMs - context.clock.nowMs(),
     };
     const decision = decideSend(view);
     return decision.kind === 'refuse' ? {view, decision} : undefined;
   }
 
-  /** Of what its copy would reach only after its caller has given up. */
+  /** Refuses a request whose copy would be ready only after its caller left. */
   checkCopyWait(): CopyRefusal | undefined {
     const {context, request} = this.options;
     if (request.model === undefined) return undefined;
     const copyInMs = context.heldCopies.copyInMs(request.model);
-    const view = {...this.left(), copyInMs};
+    const view = {...this.remainingTimes(), copyInMs};
     const decision = decideWait(view);
     return decision.kind === 'refuse' ? {view, decision} : undefined;
   }
@@ -78,13 +80,12 @@
     return view.current?.services.get(service ?? '')?.engine?.slots;
   }
 
-  private left(): {leftMs: number; deadlineLeftMs: number} {
-    const {
-      context,
-      deadlineMs,
-      responseStartDeadlineMs: leavesMs,
-    } = this.options;
+  private remainingTimes(): {leftMs: number; deadlineLeftMs: number} {
+    const {context, deadlineMs, responseStartDeadlineMs} = this.options;
     const nowMs = context.clock.nowMs();
-    return {leftMs: leavesMs - nowMs, deadlineLeftMs: deadlineMs - nowMs};
+    return {
+      leftMs: responseStartDeadlineMs - nowMs,
+      deadlineLeftMs: deadlineMs - nowMs,
+    };
   }
 }
--- a/packages/banyanfold-gateway/src/requests/attempt.ts
+++ b/packages/banyanfold-gateway/src/requests/attempt.ts
@@ -2,9 +2,9 @@
 import type {RunnerConnection} from '../runners/runnerConnections.js';
 import type {ResponseHeaders} from '../types.js';
 
-const HAS_NO_BODY_METHODS = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS']);
+const BODILESS_METHODS = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS']);
 
-/** What is sent to a runner. */
+/** The HTTP request that is sent to a runner. */
 export interface AttemptRequest {
   method: string;
   target: string;
@@ -17,20 +17,20 @@
   headers: ResponseHeaders;
 }
 
-/** Receives one answer as it comes. */
+/** Receives one response as it arrives. */
 export interface AttemptObserver {
   onHead(head: ResponseHead): void;
-  /** Returns false to pause until `resume`. */
+  /** Returns false to pause the response until `resume` is called. */
   onData(chunk: Buffer): boolean;
   onEnd(): void;
   onError(error: Error): void;
 }
 
-/** One sending of a request on one connection. */
+/** One attempt to send a request over one connection. */
 export class Attempt {
   private controller: Dispatcher.DispatchController | undefined;
   private isDone = false;
-  /** Set when the connection was established before the failure. */
+  /** The request may have run once the connection was established. */
   get mayHaveRun(): boolean {
     return this.connection.established;
   }
@@ -41,7 +41,7 @@
   ) {}
 
   send({method, target, headers, body}: AttemptRequest): void {
-    const hasBody = body.length > 0 || !HAS_NO_BODY_METHODS.has(method);
+    const hasBody = body.length > 0 || !BODILESS_METHODS.has(method);
     this.connection.dispatch(
       {
         path: target,
@@ -52,12 +52,12 @@
       {
         onRequestStart: controller => {
           this.controller = controller;
-          if (this.isDone) controller.abort(new Error('given up'));
+          if (this.isDone) controller.abort(new Error('attempt cancelled'));
         },
-        onResponseStart: (_controller, status, answerHeaders) => {
-          // An interim answer is no answer.
+        onResponseStart: (_controller, status, headers) => {
+          // 1xx responses are interim; the final response follows.
           if (this.isDone || status < 200) return;
-          this.observer.onHead({status, headers: answerHeaders});
+          this.observer.onHead({status, headers});
         },
         onResponseData: (controller, chunk) => {
           if (this.isDone) return;
@@ -73,7 +73,7 @@
     if (this.controller?.paused) this.controller.resume();
   }
 
-  /** Ends the attempt at once, so that the runner stops its work. */
+  /** Closes the connection, so that the runner stops its work. */
   cancel(): void {
     this.isDone = true;
     this.connection.destroy();
--- a/packages/banyanfold-gateway/src/requests/decideRequestRetry.ts
+++ b/packages/banyanfold-gateway/src/requests/decideRequestRetry.ts
@@ -3,16 +3,16 @@
 import type {RoutePolicy} from '../types.js';
 import type {AttemptResult} from './responseRelay.js';
 
-/** Tries of one request that runners turned away without running it. */
+/** Attempts of one request that runners may reject without running it. */
 const MAX_REJECTIONS = 6;
 
-/** Where a request stands after a try that brought no answer. */
+/** State of a request after an attempt that brought no final response. */
 export interface RetryState {
   result: AttemptResult;
   attemptsMade: number;
   rejections: number;
   mayHaveRun: boolean;
-  /** A part of an answer went to the caller. */
+  /** A part of a response was forwarded to the caller. */
   hasStarted: boolean;
   deadlineMs: number;
   budgetTokens: number;
@@ -20,14 +20,14 @@
 
 export interface RequestRetryDecision {
   shouldRetry: boolean;
-  /** What was decided and why, for the log. */
+  /** The decision and its reason, for the log. */
   decision: {kind: string; reason: string};
 }
 
 /**
- * Whether a request is tried once more, by what may be repeated on its route and
- * by the budget that all requests of its service share. A runner that was never
- * reached got nothing, so that trying elsewhere takes nothing from the budget.
+ * Decides whether a request is retried, by the retry policy of its route and the
+ * retry budget that all requests of its service share. An attempt that reached no
+ * runner caused no load, so retrying it takes nothing from the budget.
  */
 export function decideRequestRetry(
   {clock, options, random}: GatewayContext,
--- a/packages/banyanfold-gateway/src/requests/errorResponse.ts
+++ b/packages/banyanfold-gateway/src/requests/errorResponse.ts
@@ -2,30 +2,30 @@
 
 const MS_PER_SECOND = 1000;
 
-/** What the gateway itself answers, with what each promises the caller. */
+/** Status codes of the gateway's own responses, and what each guarantees. */
 export const ERROR_STATUS = {
-  /** Has not run and never will. */
+  /** The request has not run and never will. */
   notRun: 503,
-  /** A runner failed or fell silent; it may have run. */
+  /** A runner failed or stopped responding; the request may have run. */
   unknown: 502,
-  /** Time ran out; it may have run. */
+  /** The deadline passed; the request may have run. */
   timeout: 504,
   unauthorized: 401,
   noRoute: 404,
   tooLarge: 413,
   headTooLarge: 431,
-  /** Over the usage cap; has not run and never will. */
+  /** The usage cap is exceeded; the request has not run and never will. */
   overCap: 429,
 } as const;
 
 export interface ErrorResponse {
   status: number;
   reason: string;
-  /** When the caller may come back, for what has not run. */
+  /** When the caller may retry, for a request that has not run. */
   retryAfterMs?: number;
 }
 
-/** Ends a request with an answer of the gateway's own. */
+/** Ends a request with an error response of the gateway itself. */
 export function sendErrorResponse(
   response: ServerResponse,
   {status, reason, retryAfterMs}: ErrorResponse,
--- a/packages/banyanfold-gateway/src/requests/eventSplitter.ts
+++ b/packages/banyanfold-gateway/src/requests/eventSplitter.ts
@@ -2,7 +2,7 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = 'id:';
 
-/** Whole events, and the id of the last of them that has one. */
+/** Complete events of a stream, and the last event id among them. */
 export interface CompleteEvents {
   bytes: Buffer;
   count: number;
@@ -10,45 +10,51 @@
 }
 
 /**
- * Cuts an event stream after its last whole event. A runner may stop in the
- * middle of one; the caller would see a broken event joined with the next
- * runner's first, so only whole ones go on.
+ * Splits an event stream into complete events. A runner may fail in the middle of
+ * an event; if the fragment were forwarded, the caller would see it joined with
+ * the first event of the runner that resumes the stream.
  */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that isn't whole yet. */
+  /** Bytes of an event that is not complete yet. */
   get pending(): Buffer {
-    return this.rest;
+    return this.remainder;
   }
 
-  /** @example splitter.push(Buffer.from('id: 1\ndata: a\n\n'))?.lastEventId */
+  /**
+   * Adds a chunk and returns the events that it completes, if any.
+   *
+   * @example splitter.push(Buffer.from('id: 1\ndata: a\n\n'))?.lastEventId // '1'
+   */
   push(chunk: Buffer): CompleteEvents | undefined {
     const bytes =
-      this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+      this.remainder.length === 0
+        ? chunk
+        : Buffer.concat([this.remainder, chunk]);
     const end = endOfLastEvent(bytes);
     if (end === 0) {
-      this.rest = bytes;
+      this.remainder = bytes;
       return undefined;
     }
-    this.rest = bytes.subarray(end);
-    return describe(bytes.subarray(0, end));
+    this.remainder = bytes.subarray(end);
+    return parseEvents(bytes.subarray(0, end));
   }
 }
 
-/** Offset after the last blank line; 0 when there is none. */
+/** Offset after the last blank line; 0 if there is none. */
 function endOfLastEvent(bytes: Buffer): number {
-  let at = bytes.lastIndexOf(LINE_FEED);
-  while (at > 0) {
-    let before = at - 1;
+  let lineFeedAt = bytes.lastIndexOf(LINE_FEED);
+  while (lineFeedAt > 0) {
+    let before = lineFeedAt - 1;
     if (bytes[before] === CARRIAGE_RETURN) before -= 1;
-    if (before >= 0 && bytes[before] === LINE_FEED) return at + 1;
-    at = bytes.lastIndexOf(LINE_FEED, at - 1);
+    if (before >= 0 && bytes[before] === LINE_FEED) return lineFeedAt + 1;
+    lineFeedAt = bytes.lastIndexOf(LINE_FEED, lineFeedAt - 1);
   }
   return 0;
 }
 
-function describe(bytes: Buffer): CompleteEvents {
+function parseEvents(bytes: Buffer): CompleteEvents {
   const lines = bytes.toString('latin1').split('\n');
   let lastEventId: string | undefined;
   let count = 0;
--- a/packages/banyanfold-gateway/src/requests/pickService.ts
+++ b/packages/banyanfold-gateway/src/requests/pickService.ts
@@ -1,6 +1,12 @@
 import type {ServiceShare} from '../types.js';
 
-/** Draws one of a route's services by weight. */
+/**
+ * Picks one of a route's services at random, in proportion to their weights.
+ *
+ * @param random uniform in [0, 1).
+ * @example pickService([{service: 'drafting', weight: 1}], Math.random)
+ * // 'drafting'
+ */
 export function pickService(
   shares: readonly ServiceShare[],
   random: () => number,
--- a/packages/banyanfold-gateway/src/requests/readBody.ts
+++ b/packages/banyanfold-gateway/src/requests/readBody.ts
@@ -1,9 +1,9 @@
 import type {IncomingMessage} from 'node:http';
 
-/** Why a body couldn't be read. */
+/** Why a request body could not be read. */
 export type BodyReadError = 'too-large' | 'broken-off';
 
-/** Reads a whole body, so that it can be sent to a second runner. */
+/** Buffers the complete request body, so that an attempt can be retried. */
 export function readBody(
   request: IncomingMessage,
   maxBytes: number,
--- a/packages/banyanfold-gateway/src/requests/requestFingerprint.ts
+++ b/packages/banyanfold-gateway/src/requests/requestFingerprint.ts
@@ -1,9 +1,9 @@
 import {createHash} from 'node:crypto';
 
-/** Hexadecimal digits that are kept: 64 bits, so that two never meet by chance. */
+/** Hexadecimal digits that are kept; 64 bits make collisions negligible. */
 const FINGERPRINT_DIGITS = 16;
 
-/** What reaches the runner each time that a caller sends a request again. */
+/** The parts of a request that stay the same when its caller retries it. */
 export interface FingerprintInput {
   method: string;
   host: string;
@@ -13,10 +13,10 @@
 }
 
 /**
- * Names a request by what stays the same when its caller sends it again; each
- * sending has another request id. The caller's address is no part of it: a
- * runner never gets it, so it can't be why one crashes, and a caller may show
- * several. With it, each sending from another address passed for a new request.
+ * Identifies a request across retries of its caller, which use a new request id
+ * each time. The caller's address is not included: runners never receive it, so
+ * it can't cause a crash, and a caller may use several. If it were included, each
+ * retry from another address would count as a new request.
  *
  * @example
  * fingerprintOf({method: 'GET', host: 'a', target: '/x',
@@ -25,7 +25,7 @@
 export function fingerprintOf(content: FingerprintInput): string {
   const {method, host, target, body} = content;
   const hash = createHash('sha256');
-  // No part holds a line feed, so that parts can't be taken for one another.
+  // No part contains a line feed, so the separator is unambiguous.
   hash.update(`${method}\n${host}\n${target}\n`);
   return hash.update(body).digest('hex').slice(0, FINGERPRINT_DIGITS);
 }
--- a/packages/banyanfold-gateway/src/requests/requestHandler.ts
+++ b/packages/banyanfold-gateway/src/requests/requestHandler.ts
@@ -21,69 +21,76 @@
 import {WakeablePause} from './wakeablePause.js';
 import {workOf} from './workOf.js';
 
-/** The runner doesn't hold what the request needs. */
-const MISDIRECTED = 421;
-/** A runner that is full or fetches an adapter is asked again after this. */
-const REJECTION_PAUSE_MS = 25;
+/** The runner doesn't hold the model or the adapter of the request. */
+const MISDIRECTED_REQUEST = 421;
+/** First pause before a runner that is full or fetches an adapter is retried. */
+const REJECTION_BACKOFF_MS = 25;
 /**
- * The pause doubles with each rejection up to this, a few turns of a queue that
- * is full. All tries of a request then last 0.4 s at least; without pauses they
- * were over in 20 ms, and the request refused, while one runner was full.
+ * The pause doubles with each rejection up to this limit, so that a full queue
+ * can make progress between attempts. All attempts of a request then span at
+ * least 0.4 s; without pauses they were used up within 20 ms, and the request
+ * was refused because a single runner was full for a moment.
  */
-const REJECTION_PAUSE_CAP_MS = 200;
-/** Without a copy or a place, look again after this if nothing changes. */
-const PARK_POLL_MS = 100;
-/** A suspect asks again after this whether it may run; trials take longer. */
+const MAX_REJECTION_BACKOFF_MS = 200;
+/** Interval at which a waiting request looks for a runner if nothing changes. */
+const RUNNER_POLL_MS = 100;
+/** Interval at which a suspect requests a trial; a trial takes longer. */
 const TRIAL_POLL_MS = 150;
 /**
- * Of the time to its target a prompt waits for its turn up to this share; then it
- * goes all the same, and the runner's own order decides.
+ * A prompt waits for its turn up to this share of the route's target time. Then
+ * it is sent anyway, and the runner's own queue decides the order.
  */
-const TURN_WAIT_SHARE = 0.25;
+const MAX_TURN_WAIT_SHARE = 0.25;
+
 export interface RequestHandlerOptions {
   context: GatewayContext;
   request: IncomingMessage;
   response: ServerResponse;
   decoded: DecodedRequest;
-  /** With the priority of the caller's organisation, where it has one. */
+  /** Carries the priority of the caller's organisation, if that defines one. */
   route: RoutePolicy;
   identity: CallerIdentity;
-  /** When the request came; undefined without one. */
+  /** The caller's organisation on arrival; undefined if it has none. */
   organisation: Organisation | undefined;
   body: Buffer;
-  /** When the first byte of the request was seen. */
+  /** When the head of the request was read, in ms of the clock. */
   startedMs: number;
 }
 
-/** Carries one request of a caller to its one final answer. */
+/**
+ * Handles one request from admission to its final response: chooses runners,
+ * sends attempts and retries them until the request succeeds, is refused or
+ * reaches its deadline.
+ */
 export class RequestHandler {
   private readonly deadlineMs: number;
   /**
-   * Its caller leaves then if no event has come. Held to its deadline instead,
-   * one that no runner could take was lost, though it would have come back when
-   * told to: 1,279 of 7,995 requests of an overloaded day.
+   * The caller disconnects at this time if no event has arrived. A request that
+   * no runner can take is refused by then, so that the caller retries. When such
+   * requests were held until their deadline instead, 1,279 of 7,995 requests of
+   * an overloaded day were lost.
    */
-  private readonly leavesMs: number;
+  private readonly responseStartDeadlineMs: number;
   private readonly service: string;
-  private readonly started: StartedWork;
+  private readonly requestWork: StartedWork;
   private readonly relay: ResponseRelay;
   private readonly targets: TargetChooser;
   private readonly log: RequestLog;
   private readonly fingerprint: string;
-  private readonly suspicion: SuspectStatus;
-  private readonly refusals: AdmissionChecks;
-  private readonly charge: UsageCharge;
-  private timer: Timer | undefined;
+  private readonly suspect: SuspectStatus;
+  private readonly admissionChecks: AdmissionChecks;
+  private readonly usageCharge: UsageCharge;
+  private deadlineTimer: Timer | undefined;
   private readonly pause: WakeablePause;
-  private isOver = false;
+  private isFinished = false;
   private attemptsMade = 0;
-  private sendings = 0;
+  private sendCount = 0;
   private rejections = 0;
   private mayHaveRun = false;
-  private hasWaited = false;
-  private endWaiting: (() => void) | undefined;
-  private nextPauseMs = 0;
-  private turn: PromptTurn | undefined;
+  private hasLoggedWait = false;
+  private stopWaiting: (() => void) | undefined;
+  private nextBackoffMs = 0;
+  private promptTurn: PromptTurn | undefined;
 
   constructor(private readonly options: RequestHandlerOptions) {
     const {context, request, route, decoded, body, startedMs, response} =
@@ -94,13 +101,13 @@
     );
     this.deadlineMs = startedMs + waitMs - context.options.deadlineMarginMs;
     const {callerIdleTimeoutMs = waitMs} = route;
-    const beginsWithinMs = Math.min(waitMs, callerIdleTimeoutMs);
-    this.leavesMs =
-      startedMs + beginsWithinMs - context.options.deadlineMarginMs;
+    const startsWithinMs = Math.min(waitMs, callerIdleTimeoutMs);
+    this.responseStartDeadlineMs =
+      startedMs + startsWithinMs - context.options.deadlineMarginMs;
     this.pause = new WakeablePause(context.clock);
     this.service = pickService(route.services, context.random);
     const {model, adapter, promptTokens, maxOutputTokens} = decoded.request;
-    this.started = {
+    this.requestWork = {
       priority: model === undefined ? undefined : route.priority,
       work: workOf({requests: 1, promptTokens, outputTokens: maxOutputTokens}),
       model,
@@ -120,7 +127,7 @@
       target: request.url ?? '/',
       body,
     });
-    this.suspicion = new SuspectStatus(context, this.fingerprint);
+    this.suspect = new SuspectStatus(context, this.fingerprint);
     this.log = new RequestLog({
       context,
       decoded,
@@ -129,19 +136,19 @@
       startedMs,
       deadlineMs: this.deadlineMs,
     });
-    this.charge = new UsageCharge({
+    this.usageCharge = new UsageCharge({
       context,
       request: decoded.request,
       organisation: options.organisation,
       log: this.log,
     });
-    this.refusals = new AdmissionChecks({
+    this.admissionChecks = new AdmissionChecks({
       context,
       request: decoded.request,
       route,
       startedMs,
       deadlineMs: this.deadlineMs,
-      responseStartDeadlineMs: this.leavesMs,
+      responseStartDeadlineMs: this.responseStartDeadlineMs,
     });
     this.relay = new ResponseRelay({
       context,
@@ -153,13 +160,13 @@
     response.once('close', () => this.onCallerClosed());
   }
 
-  /** A runner works on it, or may have. */
-  private get isTried(): boolean {
+  /** Whether a runner works on the request or may have worked on it. */
+  private get mayHaveStarted(): boolean {
     return this.relay.isSent || this.relay.hasStarted || this.mayHaveRun;
   }
 
-  /** A key may have moved to another one since the request came. */
-  private get organisationNow(): Organisation | undefined {
+  /** The key may have moved to another organisation since the request arrived. */
+  private get currentOrganisation(): Organisation | undefined {
     const caller = this.options.identity.decide();
     return caller.kind === 'admitted' ? caller.organisation : undefined;
   }
@@ -169,50 +176,54 @@
     return {attemptsMade, rejections, mayHaveRun};
   }
 
+  /** Handles the request; resolves once it is finished. */
   async run(): Promise<void> {
     const {context, decoded, startedMs} = this.options;
     const {model, adapter, promptTokens, maxOutputTokens} = decoded.request;
-    // Ahead of the demand: copies would be made for what isn't run.
-    if (this.suspicion.verdict === 'quarantined') return this.endQuarantined();
-    if (this.isOverCap()) return;
+    // Before the demand is counted: it must not trigger loads of copies for
+    // requests that are not run.
+    if (this.suspect.verdict === 'quarantined') return this.endQuarantined();
+    if (this.refuseIfOverCap()) return;
     if (model !== undefined) {
       const {leastUrgent} = context.view;
       const urgency = urgencyOf(this.options.route.priority, leastUrgent);
       const tokens = {promptTokens, maxOutputTokens};
       context.demand.noteArrival({model, adapter, urgency, ...tokens});
-      context.workForecast.note(model, this.started.work.prefill);
+      context.workForecast.note(model, this.requestWork.work.prefill);
     }
     context.retryBudgetOf(this.service).noteAttempt();
-    if (this.refusals.outlastsDrain) return this.refuse('leaving');
+    if (this.admissionChecks.outlastsDrain) return this.refuse('leaving');
     const leftMs = this.deadlineMs - context.clock.nowMs();
-    this.timer = context.clock.setTimer(leftMs, () => this.onDeadline());
-    const leavesInMs = this.leavesMs - context.clock.nowMs();
-    const leaveTimer = context.clock.setTimer(leavesInMs, () =>
-      this.refuseUntried('no-place-in-time'),
+    this.deadlineTimer = context.clock.setTimer(leftMs, () =>
+      this.onDeadline(),
     );
-    while (!this.isOver) await this.step();
-    this.timer.cancel();
-    leaveTimer.cancel();
+    const startLeftMs = this.responseStartDeadlineMs - context.clock.nowMs();
+    const responseStartTimer = context.clock.setTimer(startLeftMs, () =>
+      this.refuseIfNotStarted('no-place-in-time'),
+    );
+    while (!this.isFinished) await this.step();
+    this.deadlineTimer.cancel();
+    responseStartTimer.cancel();
     context.metrics.observeMs('request_ms', context.clock.nowMs() - startedMs, {
       kind: this.options.route.kind,
     });
   }
 
   private async step(): Promise<void> {
-    if (this.nextPauseMs > 0) await this.pause.wait(this.nextPauseMs);
-    this.nextPauseMs = 0;
-    if (this.isOver) return;
-    if (this.isShutOut()) return;
-    const {verdict} = this.suspicion;
+    if (this.nextBackoffMs > 0) await this.pause.wait(this.nextBackoffMs);
+    this.nextBackoffMs = 0;
+    if (this.isFinished) return;
+    if (this.endIfAccessRevoked()) return;
+    const {verdict} = this.suspect;
     if (verdict === 'quarantined') return this.endQuarantined();
-    if (verdict === 'suspect') return this.stepAlone();
+    if (verdict === 'suspect') return this.runTrial();
     const target = this.targets.choose();
-    if (target) await this.tryAt(target);
+    if (target) await this.tryRunner(target);
     else await this.waitForRunner();
   }
 
-  /** Undefined when it was not sent. */
-  private async tryAt(target: Target): Promise<AttemptResult | undefined> {
+  /** Returns undefined if the request was not sent. */
+  private async tryRunner(target: Target): Promise<AttemptResult | undefined> {
     const {runnerId} = target.runner;
     const {rateLimits} = this.options.context;
     const permit = rateLimits.take(runnerId);
@@ -223,7 +234,7 @@
     const result = await this.sendTo(target);
     const isSent = result !== undefined && result.kind !== 'unreached';
     if (permit.kind === 'admit' && !isSent) rateLimits.giveBack(runnerId);
-    if (result && !this.isOver) this.settle(target, result);
+    if (result && !this.isFinished) this.handleResult(target, result);
     return result;
   }
 
@@ -231,31 +242,31 @@
     if (target.needsAdapter && !(await this.fetchAdapter(target))) {
       return undefined;
     }
-    if (this.isOver || !this.targets.isStillUsable(target.runner)) {
+    if (this.isFinished || !this.targets.isStillUsable(target.runner)) {
       return undefined;
     }
-    if (this.isTurnedAway(target)) return undefined;
+    if (this.refuseIfQueueTooLong(target)) return undefined;
     return this.attempt(target);
   }
 
   private async waitForRunner(): Promise<void> {
     const freeInMs = this.targets.rateLimitedForMs();
-    if (freeInMs === undefined) return this.park();
-    // What another runner may have begun can't be refused any more.
+    if (freeInMs === undefined) return this.waitForCopy();
+    // A 503 promises that the request has not run, which no longer holds here.
     if (this.relay.hasStarted || this.mayHaveRun) {
       return this.pause.wait(freeInMs);
     }
     const retryAfterMs = Math.max(freeInMs, MIN_RETRY_AFTER_MS);
     this.log.refuseByRateLimit(this.service, retryAfterMs);
-    this.answer(ERROR_STATUS.notRun, 'runner-limit', retryAfterMs);
+    this.respond(ERROR_STATUS.notRun, 'runner-limit', retryAfterMs);
   }
 
   /**
-   * Runs a suspect where no other one runs, or has it wait. Sent on like any
-   * other it would crash a runner at each entry before anyone could tell which
-   * of those at the runner did it.
+   * Runs a suspect on a runner that runs no other suspect, or waits for one.
+   * Without trials, a request that crashes runners would crash one per entry
+   * before it could be told apart from the other requests on those runners.
    */
-  private async stepAlone(): Promise<void> {
+  private async runTrial(): Promise<void> {
     const {context} = this.options;
     const runnerIds = this.targets.eligibleByOpenWork();
     if (runnerIds.length === 0) return this.waitForRunner();
@@ -265,143 +276,150 @@
       forMs: this.deadlineMs - context.clock.nowMs(),
     });
     if (runnerId === undefined) {
-      if (!this.isOver) await this.pause.wait(TRIAL_POLL_MS);
+      if (!this.isFinished) await this.pause.wait(TRIAL_POLL_MS);
       return;
     }
-    const target = this.isOver ? undefined : this.targets.choose(runnerId);
-    const result = target && (await this.tryAt(target));
-    this.suspicion.noteTrialEnd(result);
+    const target = this.isFinished ? undefined : this.targets.choose(runnerId);
+    const result = target && (await this.tryRunner(target));
+    this.suspect.noteTrialEnd(result);
   }
 
-  /** Refuses what goes beyond the usage cap of its organisation. */
-  private isOverCap(): boolean {
-    const retryAfterMs = this.charge.charge();
+  /** Refuses a request that exceeds the usage cap of its organisation. */
+  private refuseIfOverCap(): boolean {
+    const retryAfterMs = this.usageCharge.charge();
     if (retryAfterMs === undefined) return false;
-    this.answer(ERROR_STATUS.overCap, 'usage-cap', retryAfterMs);
+    this.respond(ERROR_STATUS.overCap, 'usage-cap', retryAfterMs);
     return true;
   }
 
-  /** Ends the request if its caller's key has been taken away since it came. */
-  private isShutOut(): boolean {
+  /** Ends the request if its caller's key was revoked after it arrived. */
+  private endIfAccessRevoked(): boolean {
     const caller = this.options.identity.decide();
     if (caller.kind === 'admitted') return false;
     if (this.relay.hasStarted) {
       this.options.response.destroy();
       this.finish('cut', 0);
     } else if (caller.kind === 'unauthorized') {
-      this.answer(ERROR_STATUS.unauthorized, caller.reason);
+      this.respond(ERROR_STATUS.unauthorized, caller.reason);
     } else if (this.mayHaveRun) {
-      this.answer(ERROR_STATUS.unknown, 'config-stale');
+      this.respond(ERROR_STATUS.unknown, 'config-stale');
     } else {
       this.refuse('config-stale');
     }
     return true;
   }
 
-  /** Refuses at once what has crashed runner after runner. */
+  /** Ends a request that is in quarantine because it crashed several runners. */
   private endQuarantined(): void {
-    const {quarantinedForMs} = this.suspicion;
+    const {quarantinedForMs} = this.suspect;
     this.log.refuseQuarantined(this.fingerprint, quarantinedForMs);
     if (this.relay.hasStarted) {
       this.options.response.destroy();
       this.finish('cut', 0);
     } else if (this.mayHaveRun) {
-      this.answer(ERROR_STATUS.unknown, 'quarantined');
+      this.respond(ERROR_STATUS.unknown, 'quarantined');
     } else {
-      this.answer(ERROR_STATUS.notRun, 'quarantined', quarantinedForMs);
+      this.respond(ERROR_STATUS.notRun, 'quarantined', quarantinedForMs);
     }
   }
 
-  /** Refuses what a full queue would hold until its caller gives up. */
-  private isTurnedAway({runner}: Target): boolean {
+  /** Refuses a request that would queue until its caller disconnects. */
+  private refuseIfQueueTooLong({runner}: Target): boolean {
     if (this.relay.hasStarted) return false;
-    const refusal = this.refusals.checkQueue(runner.runnerId);
+    const refusal = this.admissionChecks.checkQueue(runner.runnerId);
     if (!refusal) return false;
     const {decision} = refusal;
     this.log.refuseByQueue(runner.runnerId, refusal);
-    if (this.mayHaveRun) this.answer(ERROR_STATUS.unknown, 'runner-failed');
-    else this.answer(ERROR_STATUS.notRun, 'queue', decision.retryAfterMs);
+    if (this.mayHaveRun) this.respond(ERROR_STATUS.unknown, 'runner-failed');
+    else this.respond(ERROR_STATUS.notRun, 'queue', decision.retryAfterMs);
     return true;
   }
 
-  /** Waits for a copy of the model, or for a runner at all. */
-  private async park(): Promise<void> {
+  /** Waits for a copy of the model, or for any runner of a plain service. */
+  private async waitForCopy(): Promise<void> {
     const {context} = this.options;
-    if (!this.hasWaited) this.log.wait(this.targets.candidateCounts());
-    this.hasWaited = true;
-    if (this.isWaitInVain()) return;
-    this.noteWaiting();
+    if (!this.hasLoggedWait) this.log.wait(this.targets.candidateCounts());
+    this.hasLoggedWait = true;
+    if (this.refuseIfCopyTooLate()) return;
+    this.markWaiting();
     const unsubscribe = context.view.onChange(() => this.pause.wake());
-    await this.pause.wait(PARK_POLL_MS);
+    await this.pause.wait(RUNNER_POLL_MS);
     unsubscribe();
   }
 
-  /** Refuses what its copy would reach only after its caller has given up. */
-  private isWaitInVain(): boolean {
+  /** Refuses a request whose copy would be ready only after its caller left. */
+  private refuseIfCopyTooLate(): boolean {
     if (this.relay.hasStarted || this.mayHaveRun) return false;
-    const refusal = this.refusals.checkCopyWait();
+    const refusal = this.admissionChecks.checkCopyWait();
     if (!refusal) return false;
     this.log.refuseWithoutCopy(refusal);
     const {retryAfterMs} = refusal.decision;
-    this.answer(ERROR_STATUS.notRun, 'no-copy-in-time', retryAfterMs);
+    this.respond(ERROR_STATUS.notRun, 'no-copy-in-time', retryAfterMs);
     return true;
   }
 
-  /** Counts as waiting until it is sent or over. */
-  private noteWaiting(): void {
+  /** Counts the request as waiting until it is sent or finished. */
+  private markWaiting(): void {
     const {context, decoded} = this.options;
     const {model} = decoded.request;
     if (model === undefined) return;
-    this.endWaiting ??= context.demand.noteWaiting(model);
+    this.stopWaiting ??= context.demand.noteWaiting(model);
   }
 
-  private noteNotWaiting(): void {
-    this.endWaiting?.();
-    this.endWaiting = undefined;
+  private clearWaiting(): void {
+    this.stopWaiting?.();
+    this.stopWaiting = undefined;
   }
 
   private async fetchAdapter({runner}: Target): Promise<boolean> {
     const {context, decoded} = this.options;
     const {model, adapter} = decoded.request;
     const {runnerId} = runner;
-    const isThere = await context.ensureAdapter({
+    const isAvailable = await context.ensureAdapter({
       runnerId,
       model: model!,
       adapter: adapter!,
     });
-    if (isThere || this.isOver) return isThere;
+    if (isAvailable || this.isFinished) return isAvailable;
     this.targets.noteRejected(runnerId);
-    this.noteWaiting();
-    await this.pause.wait(REJECTION_PAUSE_MS);
+    this.markWaiting();
+    await this.pause.wait(REJECTION_BACKOFF_MS);
     return false;
   }
 
-  /** Undefined when it was not sent: its turn came too late. */
+  /** Returns undefined if the request was not sent because its turn came late. */
   private async attempt(target: Target): Promise<AttemptResult | undefined> {
     const {context, route, decoded} = this.options;
     const {runner} = target;
-    this.noteNotWaiting();
+    this.clearWaiting();
     const aheadWork = context.runnerStates.workAhead(
       runner.runnerId,
       route.priority,
     );
-    context.runnerStates.noteStart(runner.runnerId, this.service, this.started);
+    context.runnerStates.noteStart(
+      runner.runnerId,
+      this.service,
+      this.requestWork,
+    );
     const isPrompt = decoded.request.model !== undefined;
-    this.turn = isPrompt
+    this.promptTurn = isPrompt
       ? context.promptGate.enter(
           runner.runnerId,
           route.priority,
           this.options.startedMs,
         )
       : undefined;
-    const waitMs = route.targetMs * TURN_WAIT_SHARE;
-    const waited = context.clock.setTimer(waitMs, () => this.turn?.goAhead());
-    const mayGo = (await this.turn?.come) ?? true;
-    waited.cancel();
-    const isUsable = mayGo && !this.isOver && !this.isShutOut();
+    const waitMs = route.targetMs * MAX_TURN_WAIT_SHARE;
+    const turnTimer = context.clock.setTimer(waitMs, () =>
+      this.promptTurn?.goAhead(),
+    );
+    const isTurnGranted = (await this.promptTurn?.come) ?? true;
+    turnTimer.cancel();
+    const isUsable =
+      isTurnGranted && !this.isFinished && !this.endIfAccessRevoked();
     if (!isUsable || !this.targets.isStillUsable(runner)) {
-      this.turn?.giveBack();
-      context.runnerStates.noteEnd(runner.runnerId, this.started, false);
+      this.promptTurn?.giveBack();
+      context.runnerStates.noteEnd(runner.runnerId, this.requestWork, false);
       return undefined;
     }
     return this.send(target, aheadWork);
@@ -422,10 +440,10 @@
       priority:
         decoded.request.model === undefined ? undefined : route.priority,
       lastEventId: this.relay.lastEventId,
-      organisation: this.organisationNow?.name,
+      organisation: this.currentOrganisation?.name,
     });
-    this.sendings += 1;
-    let wasRead = false;
+    this.sendCount += 1;
+    let isPromptRead = false;
     const result = await this.relay.relay(
       connection,
       {
@@ -436,21 +454,25 @@
       },
       {
         runnerId: runner.runnerId,
-        onResponseInfo: facts =>
-          context.rateLimits.noteAnswer(runner.runnerId, facts, nowMs),
+        onResponseInfo: info =>
+          context.rateLimits.noteAnswer(runner.runnerId, info, nowMs),
         onFirstByte: () => {
-          wasRead = true;
-          this.turn?.giveBack();
+          isPromptRead = true;
+          this.promptTurn?.giveBack();
           const tookMs = context.clock.nowMs() - nowMs;
-          context.runnerStates.noteRead(runner.runnerId, this.started, {
+          context.runnerStates.noteRead(runner.runnerId, this.requestWork, {
             aheadWork,
             tookMs,
           });
         },
       },
     );
-    this.turn?.giveBack();
-    context.runnerStates.noteEnd(runner.runnerId, this.started, wasRead);
+    this.promptTurn?.giveBack();
+    context.runnerStates.noteEnd(
+      runner.runnerId,
+      this.requestWork,
+      isPromptRead,
+    );
     if (result.kind === 'broken' && result.isClosedByRunner) {
       context.crashWatch.noteCutOff(runner, this.fingerprint);
     }
@@ -464,12 +486,12 @@
     return result;
   }
 
-  private settle(target: Target, result: AttemptResult): void {
+  private handleResult(target: Target, result: AttemptResult): void {
     const {context} = this.options;
     const {runnerId} = target.runner;
     switch (result.kind) {
       case 'delivered':
-        this.suspicion.noteAnswered();
+        this.suspect.noteAnswered();
         this.notePace(runnerId);
         context.runnerStates.noteOutcome(
           runnerId,
@@ -480,7 +502,7 @@
         return;
       case 'unreached':
         context.runnerStates.noteUnreachable(runnerId, this.service);
-        this.again(target, result);
+        this.retryOrFail(target, result);
         return;
       case 'rejected':
         if (result.fromOtherRunner) {
@@ -488,15 +510,15 @@
         } else {
           this.noteRejection(target, result.status);
         }
-        this.again(target, result);
+        this.retryOrFail(target, result);
         return;
       case 'failed':
       case 'broken':
-        if (result.kind === 'failed') this.suspicion.noteAnswered();
+        if (result.kind === 'failed') this.suspect.noteAnswered();
         this.attemptsMade += 1;
         this.mayHaveRun = true;
         context.runnerStates.noteOutcome(runnerId, false);
-        this.again(target, result);
+        this.retryOrFail(target, result);
         return;
       default:
         result satisfies never;
@@ -514,7 +536,7 @@
   private noteRejection({runner, needsAdapter}: Target, status: number): void {
     const {context, decoded} = this.options;
     const {model, adapter} = decoded.request;
-    const isAbsent = status === MISDIRECTED;
+    const isAbsent = status === MISDIRECTED_REQUEST;
     if (isAbsent && model !== undefined) {
       context.heldCopies.noteAbsent(
         runner.runnerId,
@@ -524,15 +546,15 @@
     }
   }
 
-  /** Tries once more where that is allowed and helps, or ends the request. */
-  private again({runner}: Target, result: AttemptResult): void {
+  /** Schedules another attempt if the retry policy allows it, or fails. */
+  private retryOrFail({runner}: Target, result: AttemptResult): void {
     const {context, route} = this.options;
-    const wasTurnedAway =
+    const wasRejected =
       result.kind === 'rejected' || result.kind === 'unreached';
-    if (wasTurnedAway) this.rejections += 1;
+    if (wasRejected) this.rejections += 1;
     this.targets.noteRejected(runner.runnerId);
     const budget = context.retryBudgetOf(this.service);
-    const {shouldRetry: goesOn, decision} = decideRequestRetry(context, route, {
+    const {shouldRetry, decision} = decideRequestRetry(context, route, {
       result,
       ...this.counts,
       hasStarted: this.relay.hasStarted,
@@ -540,25 +562,25 @@
       budgetTokens: budget.available,
     });
     this.log.retry(runner.runnerId, result, decision, this.mayHaveRun);
-    if (!goesOn) {
+    if (!shouldRetry) {
       this.fail(result);
       return;
     }
     if (result.kind !== 'unreached') budget.tryTake();
-    if (wasTurnedAway) this.nextPauseMs = this.rejectionPauseMs();
+    if (wasRejected) this.nextBackoffMs = this.rejectionBackoffMs();
     context.metrics.count('retries_total', {after: result.kind});
   }
 
-  /** None while a runner is left that has not turned the request away. */
-  private rejectionPauseMs(): number {
+  /** Returns 0 while a runner is left that has not rejected the request. */
+  private rejectionBackoffMs(): number {
     const target = this.targets.choose();
     if (!target || !this.targets.hasRejected(target.runner)) return 0;
-    const ceilingMs = Math.min(
-      REJECTION_PAUSE_MS * 2 ** (this.rejections - 1),
-      REJECTION_PAUSE_CAP_MS,
+    const maxMs = Math.min(
+      REJECTION_BACKOFF_MS * 2 ** (this.rejections - 1),
+      MAX_REJECTION_BACKOFF_MS,
     );
-    // Half is sure; the rest keeps those that were turned away together apart.
-    return (ceilingMs * (1 + this.options.context.random())) / 2;
+    // Equal jitter: requests that were rejected together retry at different times.
+    return (maxMs * (1 + this.options.context.random())) / 2;
   }
 
   private fail(result: AttemptResult): void {
@@ -573,7 +595,7 @@
       this.finish('cut', 0);
       return;
     }
-    if (this.mayHaveRun) this.answer(ERROR_STATUS.unknown, 'runner-failed');
+    if (this.mayHaveRun) this.respond(ERROR_STATUS.unknown, 'runner-failed');
     else this.refuse('no-place');
   }
 
@@ -581,10 +603,10 @@
     const leftMs = this.deadlineMs - this.options.context.clock.nowMs();
     const {random} = this.options.context;
     const retryAfterMs = chooseRetryAfterMs(leftMs, random);
-    this.answer(ERROR_STATUS.notRun, reason, retryAfterMs);
+    this.respond(ERROR_STATUS.notRun, reason, retryAfterMs);
   }
 
-  private answer(status: number, reason: string, retryAfterMs?: number): void {
+  private respond(status: number, reason: string, retryAfterMs?: number): void {
     const {response, context} = this.options;
     this.finish(reason, status);
     sendErrorResponse(
@@ -594,20 +616,20 @@
     );
   }
 
-  /** The process ends soon; what has not been sent can still go elsewhere. */
+  /** Refuses the request if it is unsent, so that it can go to another entry. */
   refuseUnsent(): void {
-    this.refuseUntried('leaving');
+    this.refuseIfNotStarted('leaving');
   }
 
-  private refuseUntried(reason: string): void {
-    if (this.isOver || this.isTried) return;
-    // One that waits for its connection would be sent after the refusal.
+  private refuseIfNotStarted(reason: string): void {
+    if (this.isFinished || this.mayHaveStarted) return;
+    // An attempt that waits for its connection would be sent after the refusal.
     this.relay.cancel();
     this.refuse(reason);
   }
 
   private onDeadline(): void {
-    if (this.isOver) return;
+    if (this.isFinished) return;
     const wasSent = this.relay.cancel();
     if (this.relay.hasStarted) {
       this.options.response.destroy();
@@ -615,25 +637,25 @@
       return;
     }
     if (wasSent || this.mayHaveRun) {
-      this.answer(ERROR_STATUS.timeout, 'timeout');
+      this.respond(ERROR_STATUS.timeout, 'timeout');
     } else {
-      this.answer(ERROR_STATUS.notRun, 'no-copy-in-time', MIN_RETRY_AFTER_MS);
+      this.respond(ERROR_STATUS.notRun, 'no-copy-in-time', MIN_RETRY_AFTER_MS);
     }
   }
 
   private onCallerClosed(): void {
-    if (this.isOver || this.options.response.writableFinished) return;
+    if (this.isFinished || this.options.response.writableFinished) return;
     this.relay.cancel();
     this.finish('caller-left', 0);
   }
 
   private finish(outcome: string, status: number): void {
-    if (this.isOver) return;
-    this.isOver = true;
-    // Each sending was turned away, or reached nobody.
-    if (this.sendings <= this.rejections) this.charge.refund();
-    this.noteNotWaiting();
-    this.turn?.giveBack();
+    if (this.isFinished) return;
+    this.isFinished = true;
+    // Every attempt was rejected or reached no runner, so nothing has run.
+    if (this.sendCount <= this.rejections) this.usageCharge.refund();
+    this.clearWaiting();
+    this.promptTurn?.giveBack();
     this.pause.wake();
     const {context, route} = this.options;
     context.metrics.count('requests_total', {kind: route.kind, outcome});
--- a/packages/banyanfold-gateway/src/requests/requestLog.ts
+++ b/packages/banyanfold-gateway/src/requests/requestLog.ts
@@ -8,28 +8,28 @@
 export interface RequestLogOptions {
   context: GatewayContext;
   decoded: DecodedRequest;
-  /** The same when the caller sends the request again. */
+  /** Stays the same when the caller retries the request. */
   fingerprint: string;
   route: RoutePolicy;
   startedMs: number;
   deadlineMs: number;
 }
 
-/** How often a request was tried, and what is known of it. */
+/** Attempts of a request so far, and whether one of them may have run. */
 export interface AttemptCounts {
   attemptsMade: number;
   rejections: number;
   mayHaveRun: boolean;
 }
 
-/** How an answer came; undefined for what did not. */
+/** Timing of a response; a field is undefined if its event did not occur. */
 export interface ResponseTiming {
   firstByteMs?: number;
-  /** Between two events of a stream. */
+  /** The longest time between two events of a stream. */
   longestPauseMs?: number;
 }
 
-/** The log lines of one request: a line a decision, with what decided it. */
+/** Logs each decision on one request, together with the inputs of the decision. */
 export class RequestLog {
   constructor(private readonly options: RequestLogOptions) {}
 
@@ -37,7 +37,7 @@
     const {context, route, startedMs} = this.options;
     const {runner, reason} = target;
     const {model, adapter} = this.options.decoded.request;
-    this.line('route', {
+    this.logEvent('route', {
       route: route.name,
       fingerprint: this.options.fingerprint,
       model,
@@ -56,11 +56,11 @@
     });
   }
 
-  /** Why no runner could be chosen. */
+  /** Logs why no runner could be chosen. */
   wait(counts: CandidateCounts): void {
     const {context, decoded, route} = this.options;
     const {model, adapter} = decoded.request;
-    this.line('wait', {
+    this.logEvent('wait', {
       route: route.name,
       model,
       adapter,
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Age of what was decided on; undefined before the holder has told anything. */
+  /** Age of the copies' state in ms; undefined before the holder's first update. */
   private copiesAgeMs(): number | undefined {
     const {context, decoded} = this.options;
     if (decoded.request.model === undefined) return undefined;
@@ -82,7 +82,7 @@
   }
 
   refuseByQueue(runnerId: string, {view, decision}: QueueRefusal): void {
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'queue',
       runner: runnerId,
       workAhead: view.workAhead.toFixed(1),
@@ -95,7 +95,7 @@
 
   refuseWithoutCopy({view, decision}: CopyRefusal): void {
     const {context, decoded} = this.options;
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'no-copy-in-time',
       model: decoded.request.model,
       copyInMs: Math.round(view.copyInMs ?? 0),
@@ -111,19 +111,19 @@
     {left, retryAfterMs}: Extract<UsageDecision, {kind: 'refuse'}>,
   ): void {
     const {context} = this.options;
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'usage-cap',
       organisation,
       asked,
       left: Math.round(left),
-      toldAgeMs: context.usage.fleetUsageAgeMs,
+      usageAgeMs: context.usage.fleetUsageAgeMs,
       config: context.view.current?.version,
       retryAfterMs: Math.round(retryAfterMs),
     });
   }
 
   refuseByRateLimit(service: string, retryAfterMs: number): void {
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'runner-limit',
       service,
       model: this.options.decoded.request.model,
@@ -133,7 +133,7 @@
   }
 
   refuseQuarantined(fingerprint: string, forMs: number): void {
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'quarantined',
       fingerprint,
       retryAfterMs: Math.round(forMs),
@@ -146,7 +146,7 @@
     decision: {kind: string; reason: string},
     mayHaveRun: boolean,
   ): void {
-    this.line('retry', {
+    this.logEvent('retry', {
       runner: runnerId,
       after: result.kind,
       status: 'status' in result ? result.status : undefined,
@@ -161,18 +161,18 @@
     outcome: string,
     status: number,
     counts: AttemptCounts,
-    pace: ResponseTiming,
+    timing: ResponseTiming,
   ): void {
     const {context, route, startedMs} = this.options;
-    this.line('request-end', {
+    this.logEvent('request-end', {
       route: route.name,
       outcome,
       status,
       attempts: counts.attemptsMade,
       rejections: counts.rejections,
       mayHaveRun: counts.mayHaveRun,
-      firstByteMs: pace.firstByteMs,
-      longestPauseMs: pace.longestPauseMs,
+      firstByteMs: timing.firstByteMs,
+      longestPauseMs: timing.longestPauseMs,
       totalMs: Math.round(context.clock.nowMs() - startedMs),
     });
   }
@@ -182,7 +182,7 @@
     return Math.round(deadlineMs - context.clock.nowMs());
   }
 
-  private line(
+  private logEvent(
     event: string,
     fields: Record<string, string | number | boolean | undefined>,
   ): void {
--- a/packages/banyanfold-gateway/src/requests/responseRelay.ts
+++ b/packages/banyanfold-gateway/src/requests/responseRelay.ts
@@ -16,9 +16,9 @@
 import {EventSplitter} from './eventSplitter.js';
 import {framingOf, type Framing} from './responseFraming.js';
 
-const HAS_NO_BODY_STATUS = new Set([204, 304]);
+const BODILESS_STATUSES = new Set([204, 304]);
 
-/** How one sending of a request ended. */
+/** How one attempt to send a request to a runner ended. */
 export type AttemptResult =
   | {
       kind: 'delivered';
@@ -27,31 +27,31 @@
       firstByteMs: number;
       canReuse: boolean;
     }
-  /** The runner's own failure, whole; not yet given to the caller. */
+  /** A complete error response of the runner, not yet sent to the caller. */
   | {kind: 'failed'; status: number; headers: ResponseHeaders; body: Buffer}
-  /** The runner vouches that it did not run it. */
+  /** The runner confirmed that it did not run the request. */
   | {
       kind: 'rejected';
       status: number;
       canReuse: boolean;
       fromOtherRunner: boolean;
     }
-  /** No connection was established. */
+  /** No connection to the runner was established. */
   | {kind: 'unreached'; error: string}
-  /** It may have run, and no whole answer came. */
+  /** The request may have run, and no complete response arrived. */
   | {
       kind: 'broken';
       error: string;
-      /** The runner's side ended the connection; it may have crashed. */
+      /** The runner closed the connection; it may have crashed. */
       isClosedByRunner: boolean;
     };
 
-/** Who is asked, and who wants to know of the answer's begin. */
+/** The runner of an attempt, and callbacks for the start of its response. */
 export interface AttemptHooks {
   runnerId: string;
   onFirstByte(): void;
-  /** The head of an answer, which the runner vouches for or not. */
-  onResponseInfo(facts: ResponseInfo): void;
+  /** Called with the decoded response head, whether or not it is signed. */
+  onResponseInfo(info: ResponseInfo): void;
 }
 
 export interface ResponseRelayOptions {
@@ -62,124 +62,129 @@
   startedMs: number;
 }
 
-/** One answer on its way from a runner. */
-interface Incoming {
+/** A response that is being received from a runner. */
+interface IncomingResponse {
   head: ResponseHead;
-  facts: ResponseInfo;
+  info: ResponseInfo;
   framing: Framing;
-  /** Goes on event by event; else it is gathered first. */
+  /** Forwarded event by event; otherwise buffered until it is complete. */
   isStreamed: boolean;
   chunks: Buffer[];
-  gatheredBytes: number;
+  bufferedBytes: number;
   firstByteMs: number;
 }
 
 /**
- * Passes answers on: a stream event by event, anything else once it is whole,
- * so that a caller never takes a part for the whole answer.
+ * Forwards responses to the caller: a stream event by event, any other response
+ * only once it is complete, so that a caller never receives a truncated body.
  */
 export class ResponseRelay {
+  /** Whether the head of a stream was sent to the caller. */
   hasStarted = false;
   firstByteMs: number | undefined;
   lastEventId: string | undefined;
-  /** Between two events that went on to the caller. */
+  /** The longest time between two events that were forwarded to the caller. */
   longestPauseMs: number | undefined;
   private lastEventAtMs: number | undefined;
-  private current: {attempt: Attempt; abandon: () => void} | undefined;
+  private inFlight: {attempt: Attempt; abandon: () => void} | undefined;
 
   constructor(private readonly options: ResponseRelayOptions) {}
 
-  /** A runner has the request, or part of an answer went to the caller. */
+  /** Whether a runner has the request or a part of a response was forwarded. */
   get isSent(): boolean {
-    return this.hasStarted || (this.current?.attempt.mayHaveRun ?? false);
+    return this.hasStarted || (this.inFlight?.attempt.mayHaveRun ?? false);
   }
 
-  /** Sends the request and settles when its answer ended, either way. */
+  /** Sends one attempt; resolves when its response ends, fails or is cancelled. */
   relay(
     connection: RunnerConnection,
-    message: AttemptRequest,
-    tracking: AttemptHooks,
+    attemptRequest: AttemptRequest,
+    hooks: AttemptHooks,
   ): Promise<AttemptResult> {
     return new Promise(resolve => {
       const settle = (result: AttemptResult) => {
-        this.current = undefined;
+        this.inFlight = undefined;
         if (result.kind === 'broken') connection.destroy();
         resolve(result);
       };
-      const observer = this.observe(connection, settle, tracking);
+      const observer = this.createObserver(connection, settle, hooks);
       const attempt = new Attempt(connection, observer);
-      const abandon = () => settle(brokenBy('given up'));
-      this.current = {attempt, abandon};
-      attempt.send(message);
+      const abandon = () => settle(brokenResult('attempt cancelled'));
+      this.inFlight = {attempt, abandon};
+      attempt.send(attemptRequest);
     });
   }
 
-  /** Stops the runner's work. Returns whether a request had reached it. */
+  /**
+   * Cancels the attempt in flight, which stops the runner's work on it.
+   *
+   * @returns whether the request may have reached the runner.
+   */
   cancel(): boolean {
-    const {current} = this;
-    if (!current) return false;
-    current.attempt.cancel();
-    current.abandon();
-    return current.attempt.mayHaveRun;
+    const {inFlight} = this;
+    if (!inFlight) return false;
+    inFlight.attempt.cancel();
+    inFlight.abandon();
+    return inFlight.attempt.mayHaveRun;
   }
 
-  /** Gives the caller a runner's own failure, as it was. */
+  /** Forwards a runner's error response to the caller unchanged. */
   deliverFailure(result: {
     status: number;
     headers: ResponseHeaders;
     body: Buffer;
   }): void {
-    this.sendWhole(result.status, result.headers, result.body);
+    this.sendComplete(result.status, result.headers, result.body);
   }
 
-  private observe(
+  private createObserver(
     connection: RunnerConnection,
     settle: (result: AttemptResult) => void,
-    tracking: AttemptHooks,
+    hooks: AttemptHooks,
   ): AttemptObserver {
     const splitter = new EventSplitter();
     const sentMs = this.options.context.clock.nowMs();
-    let incoming: Incoming | undefined;
+    let incoming: IncomingResponse | undefined;
     const fail = (error: string) => {
-      this.current?.attempt.cancel();
-      settle(brokenBy(error));
+      this.inFlight?.attempt.cancel();
+      settle(brokenResult(error));
     };
     return {
       onHead: head => {
-        incoming = this.judgeHead(head, sentMs, tracking.runnerId);
-        tracking.onResponseInfo(incoming.facts);
-        if (!incoming.facts.notExecuted) tracking.onFirstByte();
-        const flaw = this.flawOf(incoming.facts);
-        if (flaw !== undefined) return fail(flaw);
-        // Only now: the head of a stream stays when another runner goes on, and
-        // the caller would take that runner's events for another request's.
-        if (incoming.isStreamed) this.begin(head);
+        incoming = this.decodeHead(head, sentMs, hooks.runnerId);
+        hooks.onResponseInfo(incoming.info);
+        if (!incoming.info.notExecuted) hooks.onFirstByte();
+        const integrityError = this.integrityErrorOf(incoming.info);
+        if (integrityError !== undefined) return fail(integrityError);
+        // Only after the checks: the head can't be replaced when another runner
+        // resumes the stream, so it must belong to this request.
+        if (incoming.isStreamed) this.startResponse(head);
       },
       onData: chunk => {
         if (!incoming) return true;
-        if (incoming.isStreamed) return this.passEvents(splitter, chunk);
-        incoming.gatheredBytes += chunk.length;
+        if (incoming.isStreamed) return this.forwardEvents(splitter, chunk);
+        incoming.bufferedBytes += chunk.length;
         incoming.chunks.push(chunk);
         const {maxGatheredBytes} = this.options.context.options;
-        if (incoming.gatheredBytes > maxGatheredBytes) fail('answer too large');
+        if (incoming.bufferedBytes > maxGatheredBytes) fail('body too large');
         return true;
       },
       onEnd: () => {
-        if (!incoming) return fail('no answer');
+        if (!incoming) return fail('connection ended without a response');
         if (incoming.framing !== 'until-close') {
-          settle(this.conclude(incoming, splitter));
+          settle(this.complete(incoming, splitter));
           return;
         }
-        const ended = incoming;
-        void connection.endedInOrder().then(isWhole => {
-          if (!this.current) return;
-          if (isWhole) settle(this.conclude(ended, splitter));
-          else settle(cutOffBy('reset before the end'));
+        const endedResponse = incoming;
+        void connection.endedInOrder().then(isComplete => {
+          if (!this.inFlight) return;
+          if (isComplete) settle(this.complete(endedResponse, splitter));
+          else settle(closedByRunnerResult('response truncated by a reset'));
         });
       },
       onError: error => {
         if (connection.established) {
-          settle(cutOffBy(error.message));
+          settle(closedByRunnerResult(error.message));
         } else {
           settle({kind: 'unreached', error: error.message});
         }
@@ -187,79 +192,85 @@
     };
   }
 
-  private judgeHead(
+  private decodeHead(
     head: ResponseHead,
     sentMs: number,
     runnerId: string,
-  ): Incoming {
+  ): IncomingResponse {
     const {context, route} = this.options;
-    const facts = context.codec.decodeResponse(
+    const info = context.codec.decodeResponse(
       head.status,
       head.headers,
       runnerId,
     );
-    const isSuccess = head.status < 300 && facts.signed;
+    const isSuccess = head.status < 300 && info.signed;
     const nowMs = context.clock.nowMs();
     const isStreamed = route.kind === 'streaming' && isSuccess;
     return {
       head,
-      facts,
+      info,
       framing: framingOf(head.headers),
       isStreamed,
       chunks: [],
-      gatheredBytes: 0,
+      bufferedBytes: 0,
       firstByteMs: nowMs - sentMs,
     };
   }
 
-  /** What shows by the head that an answer isn't this request's. */
-  private flawOf({requestId, encoded}: ResponseInfo): string | undefined {
+  /** Why a response can't be forwarded, judging by its head; undefined if it can. */
+  private integrityErrorOf({
+    requestId,
+    encoded,
+  }: ResponseInfo): string | undefined {
     const expected = this.options.decoded.request.requestId;
     if (requestId !== undefined && requestId !== expected) {
-      return 'answer of another request';
+      return 'response belongs to another request';
     }
-    return encoded ? 'answer is recoded' : undefined;
+    return encoded ? 'response body was re-encoded in transit' : undefined;
   }
 
-  /** The first answer's head stays when another runner goes on. */
-  private begin({status, headers}: ResponseHead): void {
+  /** Sends the head once; it stays when another runner resumes the stream. */
+  private startResponse({status, headers}: ResponseHead): void {
     if (this.hasStarted) return;
     this.hasStarted = true;
     const {response, context, startedMs} = this.options;
     this.firstByteMs = Math.round(context.clock.nowMs() - startedMs);
-    const passed = context.codec.forwardedResponseHeaders(headers);
-    delete passed['content-length'];
-    if (context.isDraining()) passed['connection'] = 'close';
-    response.writeHead(status, passed);
+    const forwarded = context.codec.forwardedResponseHeaders(headers);
+    delete forwarded['content-length'];
+    if (context.isDraining()) forwarded['connection'] = 'close';
+    response.writeHead(status, forwarded);
     response.flushHeaders();
   }
 
-  private passEvents(splitter: EventSplitter, chunk: Buffer): boolean {
+  private forwardEvents(splitter: EventSplitter, chunk: Buffer): boolean {
     const events = splitter.push(chunk);
     if (!events) return true;
     if (events.lastEventId !== undefined) this.lastEventId = events.lastEventId;
-    this.notePause();
+    this.recordPause();
     const {response} = this.options;
     if (response.write(events.bytes)) return true;
-    const {current} = this;
-    response.once('drain', () => current?.attempt.resume());
+    const {inFlight} = this;
+    response.once('drain', () => inFlight?.attempt.resume());
     return false;
   }
 
-  private notePause(): void {
+  private recordPause(): void {
     const nowMs = this.options.context.clock.nowMs();
     const pauseMs = Math.round(nowMs - (this.lastEventAtMs ?? nowMs));
     this.longestPauseMs = Math.max(this.longestPauseMs ?? 0, pauseMs);
     this.lastEventAtMs = nowMs;
   }
 
-  private conclude(incoming: Incoming, splitter: EventSplitter): AttemptResult {
-    const {head, facts, chunks, isStreamed, firstByteMs} = incoming;
+  private complete(
+    incoming: IncomingResponse,
+    splitter: EventSplitter,
+  ): AttemptResult {
+    const {head, info, chunks, isStreamed, firstByteMs} = incoming;
     const {status, headers} = head;
     const canReuse = this.canReuse(incoming);
     if (isStreamed) {
       if (splitter.pending.length > 0) {
-        return cutOffBy('ended inside an event');
+        return closedByRunnerResult('stream ended inside an event');
       }
       this.options.response.end();
       return {
@@ -272,9 +283,9 @@
     }
     const body = Buffer.concat(chunks);
     if (status < 300) {
-      if (!facts.signed) return brokenBy('answer is unsigned');
+      if (!info.signed) return brokenResult('response is unsigned');
       this.firstByteMs = Math.round(firstByteMs);
-      this.sendWhole(status, headers, body);
+      this.sendComplete(status, headers, body);
       return {
         kind: 'delivered',
         status,
@@ -283,40 +294,43 @@
         canReuse,
       };
     }
-    if (facts.notExecuted) {
-      const {fromOtherRunner} = facts;
+    if (info.notExecuted) {
+      const {fromOtherRunner} = info;
       return {kind: 'rejected', status, canReuse, fromOtherRunner};
     }
-    if (facts.signed) return {kind: 'failed', status, headers, body};
-    return brokenBy(`unsigned answer ${status}`);
+    if (info.signed) return {kind: 'failed', status, headers, body};
+    return brokenResult(`unsigned response with status ${status}`);
   }
 
-  private canReuse({head, framing}: Incoming): boolean {
-    const word = String(head.headers['connection'] ?? '').toLowerCase();
-    return framing !== 'until-close' && !word.includes('close');
+  private canReuse({head, framing}: IncomingResponse): boolean {
+    const connectionHeader = String(
+      head.headers['connection'] ?? '',
+    ).toLowerCase();
+    return framing !== 'until-close' && !connectionHeader.includes('close');
   }
 
-  private sendWhole(
+  private sendComplete(
     status: number,
     headers: ResponseHeaders,
     body: Buffer,
   ): void {
     const {response, context} = this.options;
-    const passed = context.codec.forwardedResponseHeaders(headers);
-    if (!HAS_NO_BODY_STATUS.has(status)) {
-      passed['content-length'] = String(body.length);
+    const forwarded = context.codec.forwardedResponseHeaders(headers);
+    if (!BODILESS_STATUSES.has(status)) {
+      forwarded['content-length'] = String(body.length);
     }
-    if (context.isDraining()) passed['connection'] = 'close';
-    response.writeHead(status, passed);
+    if (context.isDraining()) forwarded['connection'] = 'close';
+    response.writeHead(status, forwarded);
     response.end(body);
   }
 }
 
-/** An answer that this process gave up, or can't take for the runner's. */
-function brokenBy(error: string): AttemptResult {
+/** The result of an attempt that was cancelled or whose response is invalid. */
+function brokenResult(error: string): AttemptResult {
   return {kind: 'broken', error, isClosedByRunner: false};
 }
 
-function cutOffBy(error: string): AttemptResult {
+/** The result of an attempt whose connection the runner closed early. */
+function closedByRunnerResult(error: string): AttemptResult {
   return {kind: 'broken', error, isClosedByRunner: true};
 }
--- a/packages/banyanfold-gateway/src/requests/retryAfter.ts
+++ b/packages/banyanfold-gateway/src/requests/retryAfter.ts
@@ -1,23 +1,24 @@
-/** Less than this, in ms, and nothing has changed when a caller is back. */
+/** Shortest retry delay in ms; runners' state rarely changes in less time. */
 export const MIN_RETRY_AFTER_MS = 300;
-/** Callers heed a time to come back up to a third of what they have left. */
-const HEEDED_SHARE = 0.32;
-/** The time of an unload, a load and the first prompts. */
-const CHANGE_MS = 3_000;
+/** Callers accept a retry delay of up to a third of their remaining time. */
+const MAX_WAIT_SHARE = 0.32;
+/** Time for an unload, a load and the first prompts of a new copy. */
+const COPY_CHANGE_MS = 3_000;
 
 /**
- * When a caller is to come back whom nothing could take. A runner that is full or
- * a model without a copy takes seconds to change, and callers come back once: sent
- * back for less they would be refused for good. Half of the time is sure; the rest
- * keeps those that are refused together apart.
+ * Chooses the retry delay in ms for a caller whose request no runner could take.
+ * A full runner or a model without a copy takes seconds to change, and callers
+ * retry only once, so a shorter delay would end in a final refusal. Equal jitter
+ * spreads the retries of callers that are refused together.
  *
- * @param leftMs until the caller's deadline.
+ * @param leftMs time until the caller's deadline.
+ * @param random uniform in [0, 1).
  * @example chooseRetryAfterMs(12_000, () => 1) // 3000
  */
 export function chooseRetryAfterMs(
   leftMs: number,
   random: () => number,
 ): number {
-  const heededMs = Math.min(leftMs * HEEDED_SHARE, CHANGE_MS);
-  return Math.max(MIN_RETRY_AFTER_MS, (heededMs * (1 + random())) / 2);
+  const maxMs = Math.min(leftMs * MAX_WAIT_SHARE, COPY_CHANGE_MS);
+  return Math.max(MIN_RETRY_AFTER_MS, (maxMs * (1 + random())) / 2);
 }
--- a/packages/banyanfold-gateway/src/requests/retryBudgets.ts
+++ b/packages/banyanfold-gateway/src/requests/retryBudgets.ts
@@ -4,22 +4,23 @@
 export interface RetryBudgetsOptions {
   clock: Clock;
   metrics: Metrics;
-  /** Repeats that the deployment allows for each request, and besides. */
+  /** Retries that the deployment allows per request. */
   retryRatio: number;
+  /** Retries that it allows per window in addition, over all entries. */
   retrySlack: number;
   retryWindowMs: number;
-  /** Of what is allowed, the share that is used. */
+  /** Share of the allowed retries that is used. */
   usedShare: number;
-  /** Entries at work, this one included. */
+  /** Number of active entries, including this one. */
   entryCount(): number;
 }
 
-/** Of the slack, what comes back over a window; the rest is there at once. */
-const REFILLED_SLACK = 0.3;
-const LEAST_CAPACITY = 2;
+/** Share of the slack that refills over a window; the rest is available at once. */
+const REFILLED_SLACK_SHARE = 0.3;
+const MIN_CAPACITY = 2;
 const MS_PER_SECOND = 1000;
 
-/** This entry's part of the retry budget of each service. */
+/** This entry's share of the retry budget of each service. */
 export class RetryBudgets {
   private readonly budgets = new Map<string, RetryBudget>();
 
@@ -31,8 +32,8 @@
     if (!budget) {
       budget = this.create();
       this.budgets.set(service, budget);
-      const made = budget;
-      this.options.metrics.gauge('retry_budget_left', () => made.available, {
+      const created = budget;
+      this.options.metrics.gauge('retry_budget_left', () => created.available, {
         service,
       });
     }
@@ -46,15 +47,15 @@
       retrySlack,
       retryWindowMs,
       usedShare,
-      entryCount: entries,
+      entryCount,
     } = this.options;
-    const slack = (retrySlack * usedShare) / entries();
+    const slack = (retrySlack * usedShare) / entryCount();
     const windowSeconds = retryWindowMs / MS_PER_SECOND;
     return new RetryBudget({
       clock,
       tokensPerAttempt: retryRatio * usedShare,
-      tokensPerSecond: (slack * REFILLED_SLACK) / windowSeconds,
-      capacity: Math.max(LEAST_CAPACITY, slack * (1 - REFILLED_SLACK)),
+      tokensPerSecond: (slack * REFILLED_SLACK_SHARE) / windowSeconds,
+      capacity: Math.max(MIN_CAPACITY, slack * (1 - REFILLED_SLACK_SHARE)),
     });
   }
 }
--- a/packages/banyanfold-gateway/src/requests/suspectStatus.ts
+++ b/packages/banyanfold-gateway/src/requests/suspectStatus.ts
@@ -3,22 +3,23 @@
 import type {AttemptResult} from './responseRelay.js';
 
 /**
- * A runner's crash is told within this after it cut the request off: one probe
- * of its address. Only then does a trial count as one without a result.
+ * After a runner closes the connection, a crash is detected within this time by one
+ * probe of its address. Only then does the trial count as one without a result.
  */
-const CRASH_TOLD_MS = 500;
+const CRASH_DETECTION_MS = 500;
 
-/** Results of a run that a runner ended by its own answer. */
-const ANSWERED: ReadonlySet<AttemptResult['kind']> = new Set([
+/** Results of attempts that a runner ran and answered. */
+const ANSWERED_KINDS: ReadonlySet<AttemptResult['kind']> = new Set([
   'delivered',
   'failed',
 ]);
-const NOT_RUN: ReadonlySet<AttemptResult['kind']> = new Set([
+/** Results of attempts that no runner ran. */
+const NOT_RUN_KINDS: ReadonlySet<AttemptResult['kind']> = new Set([
   'rejected',
   'unreached',
 ]);
 
-/** Whether one request may crash runners, and how its run as a suspect ends. */
+/** Tracks whether one request is suspected of crashing runners. */
 export class SuspectStatus {
   constructor(
     private readonly context: GatewayContext,
@@ -29,25 +30,29 @@
     return this.context.suspects.verdictOf(this.fingerprint);
   }
 
-  /** Until it leaves quarantine, in ms. */
+  /** Time until the request leaves quarantine, in ms. */
   get quarantinedForMs(): number {
     return this.context.suspects.quarantinedForMs(this.fingerprint);
   }
 
-  /** A runner answered it whole, so that it crashes nothing. */
+  /** Records that a runner answered the request completely, without a crash. */
   noteAnswered(): void {
     this.context.suspects.noteServed(this.fingerprint);
   }
 
-  /** @param result undefined where it was not sent. */
+  /**
+   * Records the end of a trial.
+   *
+   * @param result undefined if the request was not sent.
+   */
   noteTrialEnd(result: AttemptResult | undefined): void {
     const {clock, suspects} = this.context;
-    if (result && ANSWERED.has(result.kind)) return;
-    if (!result || NOT_RUN.has(result.kind)) {
+    if (result && ANSWERED_KINDS.has(result.kind)) return;
+    if (!result || NOT_RUN_KINDS.has(result.kind)) {
       suspects.noteTrialOver(this.fingerprint, false);
       return;
     }
-    clock.setTimer(CRASH_TOLD_MS, () =>
+    clock.setTimer(CRASH_DETECTION_MS, () =>
       suspects.noteTrialOver(this.fingerprint, true),
     );
   }
--- a/packages/banyanfold-gateway/src/requests/targetChooser.ts
+++ b/packages/banyanfold-gateway/src/requests/targetChooser.ts
@@ -3,14 +3,14 @@
 import type {InferenceRequest, RunnerRegistration} from '../types.js';
 import {workOf} from './workOf.js';
 
-/** The runner that a request is to go to. */
+/** The runner chosen for an attempt, and why. */
 export interface Target {
   runner: RunnerRegistration;
   needsAdapter: boolean;
   reason: string;
 }
 
-/** Why there is no target: how many runners are left at each condition. */
+/** How many runners of the service remain after each filter, for the log. */
 export interface CandidateCounts {
   runners: number;
   staying: number;
@@ -24,41 +24,43 @@
   service: string;
 }
 
-/** Chooses runners for one request, from what the view says at the time. */
+/** Chooses runners for one request from the current view of the fleet. */
 export class TargetChooser {
   private readonly rejectedBy = new Set<string>();
-  /** Runners whose limits leave no room for the request, and until when. */
+  /** Runners whose rate limits admit no request, and until when. */
   private readonly rateLimitedUntilMs = new Map<string, number>();
 
   constructor(private readonly options: TargetChooserOptions) {}
 
   /**
-   * Undefined while no runner can take the request.
+   * Chooses the runner for the next attempt; undefined while none can take it.
    *
-   * @param only the one runner that it may go to.
+   * @param onlyRunnerId restricts the choice to this runner.
    */
-  choose(only?: string): Target | undefined {
+  choose(onlyRunnerId?: string): Target | undefined {
     const {context} = this.options;
-    const serving = this.serving().filter(
+    const eligible = this.eligibleRunners().filter(
       ({runnerId}) =>
-        (only === undefined || runnerId === only) &&
+        (onlyRunnerId === undefined || runnerId === onlyRunnerId) &&
         !this.isRateLimited(runnerId),
     );
-    const fresh = serving.filter(r => !this.rejectedBy.has(r.runnerId));
-    const choices = (fresh.length > 0 ? fresh : serving).map(runner => ({
-      runnerId: runner.runnerId,
-      failureDomain: runner.failureDomain,
-      openWork: context.runnerStates.openWork(runner.runnerId),
-      hasAdapter: this.hasAdapter(runner.runnerId),
-      isSuspect:
-        context.runnerStates.isSuspect(runner.runnerId) ||
-        context.promptGate.isStalled(runner.runnerId),
-    }));
+    const untried = eligible.filter(r => !this.rejectedBy.has(r.runnerId));
+    const candidates = (untried.length > 0 ? untried : eligible).map(
+      runner => ({
+        runnerId: runner.runnerId,
+        failureDomain: runner.failureDomain,
+        openWork: context.runnerStates.openWork(runner.runnerId),
+        hasAdapter: this.hasAdapter(runner.runnerId),
+        isSuspect:
+          context.runnerStates.isSuspect(runner.runnerId) ||
+          context.promptGate.isStalled(runner.runnerId),
+      }),
+    );
     const chosen = chooseRunner(
-      choices,
+      candidates,
       this.affinity(),
       context.failureDomain,
-      {work: this.comingWork(), random: context.random},
+      {work: this.expectedWork(), random: context.random},
     );
     const runner = chosen && context.view.runner(chosen.runnerId);
     if (!chosen || !runner) return undefined;
@@ -69,36 +71,38 @@
     };
   }
 
-  /** Runners that can take the request, the one with the least work first. */
+  /** Runners that can take the request, by open work in ascending order. */
   eligibleByOpenWork(): string[] {
-    const {runnerStates: states} = this.options.context;
-    const runnerIds = this.serving()
+    const {runnerStates} = this.options.context;
+    const runnerIds = this.eligibleRunners()
       .map(({runnerId}) => runnerId)
       .filter(runnerId => !this.isRateLimited(runnerId));
-    return runnerIds.sort((a, b) => states.openWork(a) - states.openWork(b));
+    return runnerIds.sort(
+      (a, b) => runnerStates.openWork(a) - runnerStates.openWork(b),
+    );
   }
 
-  /** Others go before a runner that turned the request away. */
+  /** Runners that rejected the request are chosen only if no other is left. */
   noteRejected(runnerId: string): void {
     this.rejectedBy.add(runnerId);
   }
 
-  /** The runner's limit leaves no room for the request for so long. */
+  /** Excludes a runner until its rate limit admits another request. */
   noteRateLimited(runnerId: string, forMs: number): void {
     const {clock} = this.options.context;
     this.rateLimitedUntilMs.set(runnerId, clock.nowMs() + forMs);
   }
 
   /**
-   * Until the first of the runners that could take the request has room for it;
-   * undefined where limits aren't what it waits for.
+   * Time until the first rate-limited runner admits the request, in ms; undefined
+   * if no runner that could take the request is rate limited.
    */
   rateLimitedForMs(): number | undefined {
     const nowMs = this.options.context.clock.nowMs();
-    const waits = this.serving()
+    const waitsMs = this.eligibleRunners()
       .filter(({runnerId}) => this.isRateLimited(runnerId))
       .map(({runnerId}) => this.rateLimitedUntilMs.get(runnerId)! - nowMs);
-    return waits.length > 0 ? Math.min(...waits) : undefined;
+    return waitsMs.length > 0 ? Math.min(...waitsMs) : undefined;
   }
 
   private isRateLimited(runnerId: string): boolean {
@@ -111,7 +115,7 @@
     return this.rejectedBy.has(runnerId);
   }
 
-  /** The view may have changed while an adapter was on its way. */
+  /** Checks the runner again, as it may have left while an adapter was fetched. */
   isStillUsable({runnerId}: RunnerRegistration): boolean {
     const runner = this.options.context.view.runner(runnerId);
     return runner !== undefined && !runner.leaving;
@@ -119,29 +123,32 @@
 
   candidateCounts(): CandidateCounts {
     const {context, service} = this.options;
-    const staying = this.staying();
-    const holding = this.holding(staying);
+    const staying = this.remainingRunners();
+    const holding = this.withModel(staying);
     return {
       runners: context.view.runnersOf(service).length,
       staying: staying.length,
       holding: holding.length,
-      reached: this.reachable(holding).length,
+      reached: this.reachableRunners(holding).length,
     };
   }
 
-  private serving(): RunnerRegistration[] {
-    const {heldCopies: held} = this.options.context;
-    return this.reachable(this.holding(this.staying())).filter(
-      ({runnerId}) => this.hasAdapter(runnerId) || held.canFetch(runnerId),
+  private eligibleRunners(): RunnerRegistration[] {
+    const {heldCopies} = this.options.context;
+    return this.reachableRunners(
+      this.withModel(this.remainingRunners()),
+    ).filter(
+      ({runnerId}) =>
+        this.hasAdapter(runnerId) || heldCopies.canFetch(runnerId),
     );
   }
 
-  private staying(): RunnerRegistration[] {
+  private remainingRunners(): RunnerRegistration[] {
     const {context, service} = this.options;
     return context.view.runnersOf(service).filter(({leaving}) => !leaving);
   }
 
-  private holding(runners: RunnerRegistration[]): RunnerRegistration[] {
+  private withModel(runners: RunnerRegistration[]): RunnerRegistration[] {
     const {context, request} = this.options;
     const {model} = request;
     if (model === undefined) return runners;
@@ -150,9 +157,13 @@
     );
   }
 
-  private reachable(runners: RunnerRegistration[]): RunnerRegistration[] {
-    const {runnerStates: states} = this.options.context;
-    return runners.filter(({runnerId}) => !states.isUnreachable(runnerId));
+  private reachableRunners(
+    runners: RunnerRegistration[],
+  ): RunnerRegistration[] {
+    const {runnerStates} = this.options.context;
+    return runners.filter(
+      ({runnerId}) => !runnerStates.isUnreachable(runnerId),
+    );
   }
 
   private hasAdapter(runnerId: string): boolean {
@@ -162,35 +173,39 @@
     return context.heldCopies.holdsAdapter(runnerId, model, adapter);
   }
 
-  /** What all entries will send until this one hears of it. */
-  private comingWork(): number {
+  /** Work that all entries send before this entry learns of it. */
+  private expectedWork(): number {
     const {context, request} = this.options;
     const {model} = request;
     if (model === undefined) return 0;
     const {ageMs} = context.heldCopies;
     if (!Number.isFinite(ageMs)) return 0;
-    const unheardMs = ageMs + context.options.exchangeIntervalMs;
+    const unseenMs = ageMs + context.options.exchangeIntervalMs;
     return context.workForecast.expectedWork(
       model,
       context.entryCount(),
-      unheardMs,
+      unseenMs,
     );
   }
 
-  /** What the request shares with others; undefined for a plain call. */
+  /** What the request shares with others; undefined for a plain service. */
   private affinity(): Affinity | undefined {
     const {model, adapter, promptParts} = this.options.request;
     if (model === undefined) return undefined;
-    // The last part is the request's own.
+    // The last prompt part is unique to the request.
     const shared = promptParts.slice(0, -1);
     const sharedTokens = shared.reduce((sum, {tokens}) => sum + tokens, 0);
-    const {prefill: read} = workOf({
+    const {prefill} = workOf({
       requests: 1,
       promptTokens: sharedTokens,
       outputTokens: 0,
     });
-    // An adapter's places are fewer than the prompts that are read with it.
-    const what = adapter ?? shared.map(({partId}) => partId).join(',');
-    return {key: `${model}/${what}`, sharedWork: sharedTokens > 0 ? read : 0};
+    // With an adapter, requests are grouped by it alone: a runner has fewer
+    // adapter slots than there are prompts that use the adapter.
+    const affinityId = adapter ?? shared.map(({partId}) => partId).join(',');
+    return {
+      key: `${model}/${affinityId}`,
+      sharedWork: sharedTokens > 0 ? prefill : 0,
+    };
   }
 }
--- a/packages/banyanfold-gateway/src/requests/usageCharge.ts
+++ b/packages/banyanfold-gateway/src/requests/usageCharge.ts
@@ -6,21 +6,21 @@
 export interface UsageChargeOptions {
   context: GatewayContext;
   request: InferenceRequest;
-  /** Undefined for a caller without one. */
+  /** Undefined for a caller without an organisation. */
   organisation: Organisation | undefined;
   log: RequestLog;
 }
 
-/** What one request counts against the usage cap of its organisation. */
+/** Charges one request to the usage cap of its organisation. */
 export class UsageCharge {
   private charged: {organisation: string; amount: number} | undefined;
 
   constructor(private readonly options: UsageChargeOptions) {}
 
   /**
-   * Counts the request.
+   * Charges the request if the cap admits it.
    *
-   * @returns when the caller may come back, in ms, if it goes beyond the cap.
+   * @returns the retry delay in ms if the request exceeds the cap.
    */
   charge(): number | undefined {
     const {context, request, organisation, log} = this.options;
@@ -38,7 +38,7 @@
     return decision.retryAfterMs;
   }
 
-  /** No runner ran it. */
+  /** Refunds the charge of a request that no runner ran. Idempotent. */
   refund(): void {
     if (!this.charged) return;
     const {organisation, amount} = this.charged;
--- a/packages/banyanfold-gateway/src/requests/wakeablePause.ts
+++ b/packages/banyanfold-gateway/src/requests/wakeablePause.ts
@@ -1,24 +1,24 @@
 import type {Clock} from '@banyanfold/core';
 
-/** A pause of one request that can be cut short. */
+/** A pause of one request that can be interrupted. */
 export class WakeablePause {
-  private end: (() => void) | undefined;
+  private interrupt: (() => void) | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Resolves after the delay, or when it is woken. */
+  /** Resolves after the delay or when `wake` is called, whichever is first. */
   wait(delayMs: number): Promise<void> {
     return new Promise(resolve => {
       const timer = this.clock.setTimer(delayMs, resolve);
-      this.end = () => {
+      this.interrupt = () => {
         timer.cancel();
-        this.end = undefined;
+        this.interrupt = undefined;
         resolve();
       };
     });
   }
 
   wake(): void {
-    this.end?.();
+    this.interrupt?.();
   }
 }
--- a/packages/banyanfold-gateway/src/requests/workForecast.ts
+++ b/packages/banyanfold-gateway/src/requests/workForecast.ts
@@ -1,4 +1,4 @@
-/** Arrivals are averaged over so long; a model may heat up within seconds. */
+/** Time constant of the average; demand for a model may rise within seconds. */
 const SMOOTHING_MS = 2_000;
 const MS_PER_SECOND = 1000;
 
@@ -8,8 +8,9 @@
 }
 
 /**
- * What this process is asked for, by model, to tell what all entries will send
- * before they hear of each other: each is taken to be asked as often as this one.
+ * Estimates the work that all entries send for a model before they learn of each
+ * other's requests. Measures the arrival rate at this entry and assumes that every
+ * entry has the same rate.
  */
 export class WorkForecast {
   private readonly rates = new Map<string, Rate>();
@@ -17,15 +18,15 @@
   constructor(private readonly nowMs: () => number) {}
 
   note(model: string, work: number): void {
-    const more = (work * MS_PER_SECOND) / SMOOTHING_MS;
-    const workPerSecond = this.perSecond(model) + more;
+    const addedPerSecond = (work * MS_PER_SECOND) / SMOOTHING_MS;
+    const workPerSecond = this.perSecond(model) + addedPerSecond;
     this.rates.set(model, {workPerSecond, updatedMs: this.nowMs()});
   }
 
   /**
-   * Work that all entries send for a model.
+   * Work that all entries send for a model within a time span.
    *
-   * @param forMs from when others' loads were last heard until they are again.
+   * @param forMs time between two updates of the other entries' load.
    */
   expectedWork(model: string, entries: number, forMs: number): number {
     return (this.perSecond(model) * entries * forMs) / MS_PER_SECOND;
--- a/packages/banyanfold-gateway/src/requests/workOf.ts
+++ b/packages/banyanfold-gateway/src/requests/workOf.ts
@@ -1,4 +1,4 @@
-/** What an amount of requests asks for, at most. */
+/** An upper bound on what a number of requests needs. */
 export interface RequestedWork {
   requests: number;
   promptTokens: number;
@@ -6,38 +6,39 @@
 }
 
 /**
- * Work at a runner, in thousands of prompt tokens. Reading a prompt holds up
- * every stream of the batch; a token more in the batch hardly slows a step.
+ * Load on a runner, in thousands of prompt tokens. The prefill of a prompt delays
+ * every stream in the batch; one more sequence hardly slows a decode step.
  */
 export interface Work {
-  /** Until the first token. */
+  /** Work until the first token. */
   prefill: number;
-  /** From then to the end. */
+  /** Work from the first token to the last. */
   decode: number;
 }
 
 const TOKENS_PER_WORK = 1_000;
 /**
- * A generated token in a full batch takes about as long as reading this many:
- * steps of 5.5 ms for 64 requests against 38 prompt tokens a ms come to 3, those
- * of a batch that isn't full, which take no longer for one more, to under 1.
+ * Prompt tokens whose prefill takes as long as the decoding of one output token.
+ * In a full batch the ratio is about 3: a step takes 5.5 ms for 64 requests, and
+ * the prefill rate is 38 tokens/ms. In a batch with free slots it is below 1, as
+ * another request does not lengthen the step.
  */
-const READ_TOKENS_PER_OUTPUT_TOKEN = 1;
-/** A call without tokens; a plain service counts calls. */
+const PREFILL_TOKENS_PER_OUTPUT_TOKEN = 1;
+/** Work of a call without tokens; a plain service counts calls. */
 const PLAIN_WORK = 1;
 
 /**
- * How much requests load a runner, against others; additive over requests.
+ * Returns the load that requests put on a runner; additive over requests.
  *
  * @example workOf({requests: 1, promptTokens: 8_000, outputTokens: 50})
- * // {read: 8, generate: 0.05}
+ * // {prefill: 8, decode: 0.05}
  */
-export function workOf(asked: RequestedWork): Work {
-  const {requests, promptTokens, outputTokens} = asked;
+export function workOf(requested: RequestedWork): Work {
+  const {requests, promptTokens, outputTokens} = requested;
   if (promptTokens === 0) return {prefill: requests * PLAIN_WORK, decode: 0};
-  const generated = outputTokens * READ_TOKENS_PER_OUTPUT_TOKEN;
+  const decodeTokens = outputTokens * PREFILL_TOKENS_PER_OUTPUT_TOKEN;
   return {
     prefill: promptTokens / TOKENS_PER_WORK,
-    decode: generated / TOKENS_PER_WORK,
+    decode: decodeTokens / TOKENS_PER_WORK,
   };
 }
