--- a/packages/banyanfold-gateway/src/__tests__/decideCaller.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/decideCaller.test.ts
@@ -19,7 +19,7 @@
     ['an unknown key', {keyDigest: keyDigestOf('k2')}],
     ['no key on a public route', {keyDigest: undefined, isPublic: true}],
     ['an unknown key on a public route', {keyDigest: 'x', isPublic: true}],
-    ['no key where none are asked for', {directory: undefined}],
+    ['no key where none is required', {directory: undefined}],
     ['a key by an outdated configuration', {isConfigStale: true}],
     [
       'an unknown key by an unconfirmed configuration',
--- a/packages/banyanfold-gateway/src/__tests__/usageKeeper.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/usageKeeper.test.ts
@@ -11,7 +11,7 @@
   burst: 20_000,
   plainTokens: 0,
 } as const;
-/** 100,000 in a window. */
+/** The cap allows 100,000 tokens in this window. */
 const WINDOW_MS = 8_000;
 const CLAIMS: Organisation = {name: 'claims', keyDigests: [], usageCap: CAP};
 const SPENT = {left: -5_000, freedPerSecond: 0, askedPerSecond: 40_000};
@@ -57,7 +57,7 @@
 }
 
 describe('UsageKeeper', () => {
-  it('writes only while an organisation is near its limit, and once after', async () => {
+  it('writes only while an organisation is near its limit, and once more', async () => {
     const {keeper} = startKeeper(true);
     await clock.advance(5_000);
     expect(saves).toBe(0);
@@ -71,8 +71,8 @@
     keeper.stop();
   });
 
-  // Guards against a cap that is full again when all processes start anew.
-  it('goes on from what is kept when all processes have ended', async () => {
+  // Guards against a restart of all processes that resets the usage of a cap.
+  it('restores the stored usage after all processes have ended', async () => {
     near = {claims: SPENT};
     const before = startKeeper(true);
     await clock.advance(1_000);
@@ -84,7 +84,7 @@
     expect(accounts.decide(other, CAP, 9_000).kind).toBe('admit');
   });
 
-  it('takes an old record for none', async () => {
+  it('ignores a stored record that is older than the window', async () => {
     record = {atMs: clock.wallMs(), organisations: {claims: SPENT}};
     await clock.advance(60_000);
     const {accounts} = startKeeper(false);
--- a/packages/banyanfold-gateway/src/callers/callerIdentity.ts
+++ b/packages/banyanfold-gateway/src/callers/callerIdentity.ts
@@ -5,13 +5,16 @@
   view: FleetView;
   isPublic: boolean;
   keyDigest: string | undefined;
-  /** Keys are accepted so long after the configuration was last confirmed. */
+  /**
+   * How long keys are accepted after the configuration was last confirmed, in ms;
+   * undefined if without limit.
+   */
   keysTrustedMs: number | undefined;
-  /** So long after its acknowledgement a configuration is in force everywhere. */
+  /** Time from its acknowledgement until a configuration applies everywhere. */
   configApplyMs: number;
 }
 
-/** Who sent a request, by the configuration in force when it is asked. */
+/** Identifies the caller of a request by the configuration in force at the time. */
 export class CallerIdentity {
   constructor(private readonly options: CallerIdentityOptions) {}
 
--- a/packages/banyanfold-gateway/src/callers/decideCaller.ts
+++ b/packages/banyanfold-gateway/src/callers/decideCaller.ts
@@ -1,20 +1,20 @@
 import type {Organisation} from '../types.js';
 import type {OrganisationDirectory} from './organisationDirectory.js';
 
-/** What is known of who sent a request. */
+/** What is known about the caller of a request. */
 export interface CallerView {
-  /** Undefined where the configuration asks for no keys. */
+  /** Undefined if the configuration requires no keys. */
   directory: OrganisationDirectory | undefined;
   /** The route may be called without a key. */
   isPublic: boolean;
-  /** Undefined without a key, or with one that is malformed. */
+  /** Undefined if the key is missing or malformed. */
   keyDigest: string | undefined;
   /**
-   * The configuration is too old to tell whether a key has been taken away, and
-   * keys are not accepted then.
+   * The configuration is too old to rule out that a key was revoked, so no key is
+   * accepted.
    */
   isConfigStale: boolean;
-  /** No newer configuration can be in force that would admit the caller. */
+  /** No newer configuration that would admit the caller can be in force. */
   isConfigConfirmed: boolean;
 }
 
@@ -22,11 +22,11 @@
   | {kind: 'admitted'; organisation?: Organisation}
   /** The caller may not use the route. */
   | {kind: 'unauthorized'; reason: 'no-key' | 'unknown-key'}
-  /** Nobody can tell; the caller may come back. */
+  /** The configuration is not recent enough to decide; the caller may retry. */
   | {kind: 'undecided'};
 
 /**
- * Whether a caller may use a route, by the newest configuration known.
+ * Decides whether a caller may use a route, by the newest known configuration.
  *
  * @example decideCaller({directory, isPublic: false, keyDigest: undefined,
  *   isConfigStale: false, isConfigConfirmed: true})
--- a/packages/banyanfold-gateway/src/callers/keyDigest.ts
+++ b/packages/banyanfold-gateway/src/callers/keyDigest.ts
@@ -3,8 +3,8 @@
 const SHORT_DIGEST_LENGTH = 8;
 
 /**
- * What a caller's key is known by. The key itself is kept nowhere, so that it
- * can't get into a log line, an error or a metric.
+ * Returns the SHA-256 digest that identifies a caller's key. The key itself is
+ * not stored, so that it can't leak into a log line, an error or a metric.
  *
  * @example keyDigestOf('k7b2ex5w').length // 64
  */
@@ -13,7 +13,7 @@
 }
 
 /**
- * Enough of a digest for an operator to tell keys apart.
+ * Shortens a digest for log lines, where it still distinguishes keys.
  *
  * @example shortDigest(keyDigestOf('k7b2ex5w')).length // 8
  */
--- a/packages/banyanfold-gateway/src/callers/organisationDirectory.ts
+++ b/packages/banyanfold-gateway/src/callers/organisationDirectory.ts
@@ -1,6 +1,6 @@
 import type {Organisation} from '../types.js';
 
-/** Finds the organisation that holds a key. */
+/** Looks up organisations by name or by the digest of a key. */
 export class OrganisationDirectory {
   private readonly byDigest = new Map<string, Organisation>();
   private readonly byName = new Map<string, Organisation>();
--- a/packages/banyanfold-gateway/src/callers/usageAccounts.ts
+++ b/packages/banyanfold-gateway/src/callers/usageAccounts.ts
@@ -12,49 +12,51 @@
 
 export interface UsageAccountsOptions {
   clock: Clock;
-  /** The span over which use is summed up. */
+  /** Length of the window over which usage is summed up. */
   windowMs: number;
-  /** The whole system starts for the first time; nothing has been used. */
+  /** The whole system starts for the first time, so nothing has been used. */
   isFirstStart: boolean;
   random(): number;
-  /** Whether the configuration still names an organisation. */
+  /** Whether the configuration still contains an organisation. */
   isKnown(organisation: string): boolean;
 }
 
 /**
- * Of its limit, what one that is kept in the store has left at most; any other one
- * may have used all but so much.
+ * An organisation is near its limit, and its usage is stored, while it has less
+ * than this share of the limit left. An organisation that is not stored may have
+ * used up the rest, so this share is what it is assumed to have left.
  */
-const KEPT_LEFT_SHARE = 0.4;
-/** An organisation that the holder doesn't tell of has used nothing lately. */
-const UNUSED_SHARE = 1;
+const NEAR_LIMIT_SHARE = 0.4;
+/** An organisation that the holder doesn't report has used nothing lately. */
+const UNUSED_LEFT_SHARE = 1;
 
 interface Account {
   usage: OrganisationUsage;
-  /** Admitted here since the last report was made. */
+  /** Amount admitted here since the last report. */
   unreported: number;
-  /** Admitted here and in the report that is under way or was answered last. */
+  /** Amount admitted here and contained in the report in flight or the last one. */
   reported: number;
 }
 
-interface ToldUsage {
+/** Usage of the whole fleet, as the holder last reported it. */
+interface FleetUsageSnapshot {
   usage: Readonly<Record<string, FleetUsageTold>>;
-  /** When it was known to the holder. */
+  /** When the holder knew it, in ms of the clock. */
   atMs: number;
-  /** Left to one that isn't told of, as a share of its limit. */
+  /** Share of its limit that an organisation missing in `usage` has left. */
   unlistedShare: number;
 }
 
-/** How much of its cap each organisation has used, as this entry knows it. */
+/** Accounts for each organisation's usage of its cap, as known to this entry. */
 export class UsageAccounts {
-  /** Also holds what entries that this one relays for have counted. */
+  /** Also contains the counts of the entries that this one relays for. */
   readonly meter = new UsageMeter();
   private readonly accounts = new Map<string, Account>();
-  private told: ToldUsage | undefined;
+  private fleetUsage: FleetUsageSnapshot | undefined;
 
   constructor(private readonly options: UsageAccountsOptions) {}
 
-  /** The limit that holds for an organisation, over all entries. */
+  /** The limit of an organisation over all entries. */
   limitOf(cap: UsageCap): UsageLimit {
     return usageLimitOf(cap, this.options.windowMs);
   }
@@ -63,33 +65,33 @@
     return this.options.windowMs;
   }
 
-  /** What this entry last heard to be left; undefined where it heard nothing. */
+  /** Amount left by the last update; undefined before the first one. */
   leftOf(organisation: string, {perWindow}: UsageLimit): number | undefined {
-    const {told} = this;
-    if (!told) return this.options.isFirstStart ? perWindow : undefined;
-    const left = told.usage[organisation]?.left;
-    return left ?? perWindow * told.unlistedShare;
+    const {fleetUsage} = this;
+    if (!fleetUsage) return this.options.isFirstStart ? perWindow : undefined;
+    const left = fleetUsage.usage[organisation]?.left;
+    return left ?? perWindow * fleetUsage.unlistedShare;
   }
 
-  /** Of what is told by the holder, those that may soon have nothing left. */
+  /** Selects the organisations that may soon have used up their limit. */
   nearLimit(
-    told: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageTold>>,
     limitOf: (organisation: string) => UsageLimit | undefined,
   ): Record<string, FleetUsageTold> {
-    const near = Object.entries(told).filter(([name, {left}]) => {
+    const near = Object.entries(usage).filter(([name, {left}]) => {
       const perWindow = limitOf(name)?.perWindow ?? Infinity;
-      return left < perWindow * KEPT_LEFT_SHARE;
+      return left < perWindow * NEAR_LIMIT_SHARE;
     });
     return Object.fromEntries(near);
   }
 
-  /** Takes in what was kept in the store, until the holder tells. */
+  /** Applies usage from the store, unless the holder has already sent its own. */
   restore(
     usage: Readonly<Record<string, FleetUsageTold>>,
     ageMs: number,
   ): void {
-    if (this.told) return;
-    this.tellAll(usage, ageMs, KEPT_LEFT_SHARE, false);
+    if (this.fleetUsage) return;
+    this.applySnapshot(usage, ageMs, NEAR_LIMIT_SHARE, false);
   }
 
   /** @example accounts.decide(organisation, cap, 9_190).kind // 'admit' */
@@ -107,7 +109,7 @@
     return decision;
   }
 
-  /** What was admitted was not run after all. */
+  /** Refunds an admitted amount that was not run. */
   refund(organisation: string, amount: number): void {
     const account = this.of(organisation);
     account.usage.giveBack(amount);
@@ -115,7 +117,7 @@
     this.meter.note(organisation, 0, -amount);
   }
 
-  /** Takes the report for the next exchange. */
+  /** Takes the reports for the next exchange with the holder. */
   takeReports(): UsageReport[] {
     for (const [name, account] of this.accounts) {
       if (!this.options.isKnown(name)) this.accounts.delete(name);
@@ -127,43 +129,55 @@
   }
 
   /**
-   * Takes in what the holder has told.
+   * Applies the fleet's usage as reported by the holder.
    *
-   * @param ageMs since it was known.
-   * @param isPassedOn a relay told, whose word may not hold the last report yet.
+   * @param ageMs time since the holder knew it.
+   * @param isRelayed it came through a relay, so it may lack the last report.
    */
   applyFleetUsage(
-    told: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageTold>>,
     ageMs: number,
-    isPassedOn: boolean,
+    isRelayed: boolean,
   ): void {
-    this.tellAll(told, ageMs, UNUSED_SHARE, isPassedOn);
+    this.applySnapshot(usage, ageMs, UNUSED_LEFT_SHARE, isRelayed);
   }
 
-  private tellAll(
+  private applySnapshot(
     usage: Readonly<Record<string, FleetUsageTold>>,
     ageMs: number,
     unlistedShare: number,
-    isPassedOn: boolean,
+    isRelayed: boolean,
   ): void {
     const atMs = this.options.clock.nowMs() - ageMs;
-    this.told = {usage, atMs, unlistedShare};
+    this.fleetUsage = {usage, atMs, unlistedShare};
     for (const [name, account] of this.accounts) {
       const {unreported, reported} = account;
-      this.tellOf(name, account, unreported + (isPassedOn ? reported : 0));
+      this.applyToAccount(
+        name,
+        account,
+        unreported + (isRelayed ? reported : 0),
+      );
     }
   }
 
-  private tellOf(name: string, {usage}: Account, untold: number): void {
-    const {told} = this;
-    if (!told) return;
-    usage.tell(told.usage[name] ?? told.unlistedShare, told.atMs, untold);
+  private applyToAccount(
+    name: string,
+    {usage}: Account,
+    uncounted: number,
+  ): void {
+    const {fleetUsage} = this;
+    if (!fleetUsage) return;
+    usage.tell(
+      fleetUsage.usage[name] ?? fleetUsage.unlistedShare,
+      fleetUsage.atMs,
+      uncounted,
+    );
   }
 
-  /** Age of what this entry decides by, in ms; undefined before it was told. */
+  /** Age of the fleet's usage in ms; undefined before the first update. */
   get fleetUsageAgeMs(): number | undefined {
-    if (!this.told) return undefined;
-    return Math.round(this.options.clock.nowMs() - this.told.atMs);
+    if (!this.fleetUsage) return undefined;
+    return Math.round(this.options.clock.nowMs() - this.fleetUsage.atMs);
   }
 
   private of(name: string): Account {
@@ -172,14 +186,14 @@
       const usage = new OrganisationUsage(this.options.isFirstStart);
       account = {usage, unreported: 0, reported: 0};
       this.accounts.set(name, account);
-      this.tellOf(name, account, 0);
+      this.applyToAccount(name, account, 0);
     }
     return account;
   }
 }
 
 /**
- * What a request counts against a cap.
+ * Returns the amount that a request is charged against a cap, in the cap's unit.
  *
  * @example usageOf({promptTokens: 9_190, maxOutputTokens: 52}, cap) // 9242
  */
--- a/packages/banyanfold-gateway/src/callers/usageKeeper.ts
+++ b/packages/banyanfold-gateway/src/callers/usageKeeper.ts
@@ -10,32 +10,32 @@
   store: UsageStore;
   lease: LeaseSource;
   accounts: UsageAccounts;
-  /** The whole system starts for the first time; nothing has been used. */
+  /** The whole system starts for the first time, so nothing has been used. */
   isFirstStart: boolean;
-  /** What organisations that are near their limits have left. */
+  /** Usage of the organisations that are near their limits. */
   nearLimit(): Record<string, FleetUsageTold>;
 }
 
 const SAVE_INTERVAL_MS = 1_000;
 
 /**
- * Keeps the use of organisations that are near their limits in the store. When all
- * processes end at once, those that start would else know of nothing that has been
- * used, and either pass the caps or refuse callers below them. Nothing is written
+ * Stores the usage of organisations that are near their limits. Without it, all
+ * usage would be lost when all processes end at once, and the new processes would
+ * either exceed the caps or refuse callers that are below them. Nothing is written
  * while no organisation is near its limit.
  */
 export class UsageKeeper {
   private stopSaving: () => void = () => {};
-  private isBusy = false;
-  private isLost = false;
-  /** Whether the record in the store names anyone; unknown at the start. */
-  private isNamed = true;
+  private isSaving = false;
+  private hasFailed = false;
+  /** Whether the stored record may contain usage; unknown after a restart. */
+  private mayHaveStoredUsage = true;
 
   constructor(private readonly options: UsageKeeperOptions) {}
 
   start(): void {
     const {clock, isFirstStart} = this.options;
-    this.isNamed = !isFirstStart;
+    this.mayHaveStoredUsage = !isFirstStart;
     if (!isFirstStart) void this.load();
     this.stopSaving = repeatEvery(clock, SAVE_INTERVAL_MS, () => this.save());
   }
@@ -47,7 +47,7 @@
   private async load(): Promise<void> {
     const {store, accounts, clock, logger} = this.options;
     const loaded = await store.load();
-    if (loaded.isErr()) return this.lost(loaded.error.message);
+    if (loaded.isErr()) return this.reportStoreFailure(loaded.error.message);
     const record = loaded.value;
     const ageMs = Math.max(0, clock.wallMs() - (record?.atMs ?? 0));
     const isCurrent = record !== undefined && ageMs < accounts.windowMs;
@@ -61,21 +61,21 @@
 
   private save(): void {
     const {lease, nearLimit, store, clock} = this.options;
-    if (this.isBusy || !lease.current().owns) return;
+    if (this.isSaving || !lease.current().owns) return;
     const organisations = nearLimit();
-    const isNamed = Object.keys(organisations).length > 0;
-    if (!isNamed && !this.isNamed) return;
-    this.isBusy = true;
+    const hasUsageToStore = Object.keys(organisations).length > 0;
+    if (!hasUsageToStore && !this.mayHaveStoredUsage) return;
+    this.isSaving = true;
     void store.save({atMs: clock.wallMs(), organisations}).then(saved => {
-      this.isBusy = false;
-      if (saved.isErr()) return this.lost(saved.error.message);
-      this.isLost = false;
-      this.isNamed = isNamed;
+      this.isSaving = false;
+      if (saved.isErr()) return this.reportStoreFailure(saved.error.message);
+      this.hasFailed = false;
+      this.mayHaveStoredUsage = hasUsageToStore;
     });
   }
 
-  private lost(error: string): void {
-    if (!this.isLost) this.options.logger.warn('usage-unkept', {error});
-    this.isLost = true;
+  private reportStoreFailure(error: string): void {
+    if (!this.hasFailed) this.options.logger.warn('usage-store-error', {error});
+    this.hasFailed = true;
   }
 }
--- a/packages/banyanfold-gateway/src/callers/usageMeter.ts
+++ b/packages/banyanfold-gateway/src/callers/usageMeter.ts
@@ -1,10 +1,13 @@
 import type {UsageReport} from '@banyanfold/decisions';
 
-/** Counts use by organisation between two exchanges with the holder. */
+/** Counts usage by organisation between two exchanges with the holder. */
 export class UsageMeter {
   private byOrganisation = new Map<string, UsageReport>();
 
-  /** @param used negative for what was admitted and then not run. */
+  /**
+   * @param asked the amount that callers requested, admitted or not.
+   * @param used the admitted amount; negative for a refund.
+   */
   note(organisation: string, asked: number, used: number): void {
     const report = this.byOrganisation.get(organisation);
     this.byOrganisation.set(organisation, {
@@ -14,14 +17,14 @@
     });
   }
 
-  /** Adds what another entry has counted. */
+  /** Adds the counts of another entry. */
   add(reports: readonly UsageReport[]): void {
     for (const {organisation, asked, used} of reports) {
       this.note(organisation, asked, used);
     }
   }
 
-  /** Takes what was counted, and begins anew. */
+  /** Returns the counts and resets them. */
   take(): UsageReport[] {
     const taken = [...this.byOrganisation.values()];
     this.byOrganisation = new Map();
