--- a/packages/banyanfold-gateway/src/__tests__/gatewayServer.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/gatewayServer.test.ts
@@ -12,7 +12,7 @@
 let hasRoute: boolean;
 let refreshes: number;
 
-const noteThrown = (error: unknown) => thrown.push(error);
+const recordThrown = (error: unknown) => thrown.push(error);
 
 beforeEach(async () => {
   logger = new MemoryLogger();
@@ -20,7 +20,7 @@
   isConfigConfirmed = true;
   hasRoute = true;
   refreshes = 0;
-  process.on('unhandledRejection', noteThrown);
+  process.on('unhandledRejection', recordThrown);
   server = new GatewayServer({
     clock: systemClock,
     logger,
@@ -36,7 +36,7 @@
     },
     codec: {
       decodeRequest: () => {
-        throw new Error('what nobody foresaw');
+        throw new Error('unexpected failure');
       },
     },
     isDraining: () => false,
@@ -45,12 +45,12 @@
 });
 
 afterEach(() => {
-  process.off('unhandledRejection', noteThrown);
+  process.off('unhandledRejection', recordThrown);
   server.server.closeAllConnections();
   server.stopAccepting();
 });
 
-function ask(): Promise<number | undefined> {
+function sendRequest(): Promise<number | undefined> {
   const {port} = server.server.address() as AddressInfo;
   return new Promise((resolve, reject) => {
     const request = http.get(
@@ -65,28 +65,28 @@
 }
 
 describe('GatewayServer', () => {
-  it('outlives a request that an error in its handling meets', async () => {
-    // All callers of one entry after the other are cut off: the handling of one
-    // request throws what nobody foresaw, the process ends by it, and the caller
-    // sends the request again, to the next entry.
-    expect(await ask()).toBe(502);
-    expect(await ask()).toBe(502);
+  it('survives an unexpected error while handling a request', async () => {
+    // Guards against one request ending entry after entry and interrupting all
+    // their callers: its handling throws, the process exits, and the caller
+    // retries at the next entry.
+    expect(await sendRequest()).toBe(502);
+    expect(await sendRequest()).toBe(502);
     expect(thrown).toEqual([]);
-    const told = logger.lines.filter(line => line.includes('request-failed'));
-    expect(told).toHaveLength(2);
-    expect(told[0]).toContain('what nobody foresaw');
+    const logged = logger.lines.filter(line => line.includes('request-failed'));
+    expect(logged).toHaveLength(2);
+    expect(logged[0]).toContain('unexpected failure');
   });
 
-  it('tells a caller that there is no route', async () => {
+  it('responds with 404 if there is no route', async () => {
     hasRoute = false;
-    expect(await ask()).toBe(404);
+    expect(await sendRequest()).toBe(404);
   });
 
-  // Guards against a caller that is sent away for good from a route just added.
-  it('asks a caller to come back while it cannot know of new routes', async () => {
+  // Guards against a final refusal for a route that was just added.
+  it('responds with 503 if a newer configuration may have the route', async () => {
     hasRoute = false;
     isConfigConfirmed = false;
-    expect(await ask()).toBe(503);
+    expect(await sendRequest()).toBe(503);
     expect(refreshes).toBe(1);
   });
 });
--- a/packages/banyanfold-gateway/src/context.ts
+++ b/packages/banyanfold-gateway/src/context.ts
@@ -15,17 +15,17 @@
 import type {RequestCodec} from './types.js';
 import type {FleetView} from './view/fleetView.js';
 
-/** Makes sure that an adapter is at a runner; false when it can't be. */
+/** Ensures that a runner holds an adapter; resolves to false if it can't. */
 export type EnsureAdapter = (wanted: {
   runnerId: string;
   model: string;
   adapter: string;
 }) => Promise<boolean>;
 
-/** At which runner a suspect may run now; undefined while it has to wait. */
+/** Returns the runner on which a suspect may run now; undefined if none yet. */
 export type PermitTrial = (wanted: TrialInput) => Promise<string | undefined>;
 
-/** What handling a request needs. */
+/** The dependencies of request handling. */
 export interface GatewayContext {
   clock: Clock;
   logger: Logger;
@@ -45,25 +45,26 @@
   usage: UsageAccounts;
   workForecast: WorkForecast;
   /**
-   * Keys are accepted so long after the configuration was last confirmed, in ms;
-   * undefined for however long.
+   * How long keys are accepted after the configuration was last confirmed, in ms;
+   * undefined if without limit.
    */
   keysTrustedMs: number | undefined;
-  /** So long after its acknowledgement a configuration is in force everywhere. */
+  /** Time from its acknowledgement until a configuration applies everywhere. */
   configApplyMs: number;
-  /** Reads the configuration anew. */
+  /** Reads the configuration again. */
   refreshConfig(): void;
-  /** Entries that are at work, this one included. */
+  /** Number of active entries, including this one. */
   entryCount(): number;
   retryBudgetOf(service: string): RetryBudget;
   ensureAdapter: EnsureAdapter;
   permitTrial: PermitTrial;
+  /** Uniform in [0, 1). */
   random(): number;
-  /** True once this process is leaving. */
+  /** True once this process has started to drain. */
   isDraining(): boolean;
   /**
-   * When this process cuts off what it still carries, in ms of the clock;
-   * undefined until it leaves and the balancer has noticed.
+   * When this process ends the requests that are still open, in ms of the clock;
+   * undefined until it drains and the balancer has stopped sending callers.
    */
   drainDeadlineMs(): number | undefined;
 }
--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -38,29 +38,36 @@
 } from './types.js';
 import {FleetView} from './view/fleetView.js';
 
-/** Bounds that the deployment sets on the system. */
+/** Limits that the deployment sets on the system. */
 export interface DeploymentBounds {
+  /** Time that a process has from the signal to stop until it must have ended. */
   graceMs: number;
+  /** Retries allowed per request. */
   retryRatio: number;
+  /** Retries allowed per window in addition, over all entries. */
   retrySlack: number;
   retryWindowMs: number;
+  /** The window over which loads from the weight store are limited. */
   loadWindowMs: number;
-  /** So long after its acknowledgement a configuration is in force everywhere. */
+  /** Time from its acknowledgement until a configuration applies everywhere. */
   configApplyMs: number;
-  /** Undefined where keys are accepted from an outdated configuration too. */
+  /**
+   * How long keys are accepted after the configuration was last confirmed;
+   * undefined if without limit.
+   */
   keysTrustedMs?: number;
-  /** The span over which usage caps are summed up. */
+  /** Length of the window over which usage is summed up. */
   usageWindowMs: number;
 }
 
 export interface GatewaySettings {
   failureDomain: string;
-  /** Cores' worth of processor that the process may use. */
+  /** CPU cores that the process may use; may be a fraction. */
   processorShare: number;
   callers: ListenAddress;
   readiness: ListenAddress;
   peers: ListenAddress;
-  /** Without it no metrics are served. */
+  /** No metrics are served if undefined. */
   metrics?: ListenAddress;
   bounds: DeploymentBounds;
   /** The whole system starts for the first time. */
@@ -82,56 +89,60 @@
   random?: () => number;
 }
 
-/** What the holder told counts this long; three exchanges may be lost. */
-const TOLD_FRESH_MS = 1_500;
-/** Entries assumed before the holder has told how many there are. */
-const ASSUMED_ENTRIES = 8;
-const JUDGE_INTERVAL_MS = 500;
+/** The holder's state is used for this long; three exchanges may be lost. */
+const HOLDER_STATE_TTL_MS = 1_500;
+/** Number of entries assumed until the holder has reported it. */
+const ASSUMED_ENTRY_COUNT = 8;
+const MAINTENANCE_INTERVAL_MS = 500;
 const DRAIN_POLL_MS = 50;
-/** To leave the group, or to offer the lease to peers while the store is out. */
+/** Time reserved to leave the group, or to offer peers the lease without a store. */
 const RELEASE_MS = 2_000;
 
-/** The process on an entry VM. */
+/** The gateway process on an entry VM. */
 export class Gateway {
   readonly view: FleetView;
   private readonly context: GatewayContext;
-  private readonly callers: GatewayServer;
-  private readonly readiness: Server;
+  private readonly callerServer: GatewayServer;
+  private readonly readinessServer: Server;
   private readonly metricsServer: Server;
-  private readonly peers: PeerServer;
+  private readonly peerServer: PeerServer;
   private readonly holder: Holder;
-  private readonly link: HolderLink;
-  private readonly quarantine: QuarantineKeeper;
-  private readonly configs: ConfigFetcher;
-  private readonly usage: UsageKeeper;
-  private stopTidying: () => void = () => {};
-  private entries = ASSUMED_ENTRIES;
-  private tidiedMs = 0;
-  private isLeaving = false;
-  private cutOffMs: number | undefined;
+  private readonly holderLink: HolderLink;
+  private readonly quarantineKeeper: QuarantineKeeper;
+  private readonly configFetcher: ConfigFetcher;
+  private readonly usageKeeper: UsageKeeper;
+  private stopMaintenance: () => void = () => {};
+  private entryCount = ASSUMED_ENTRY_COUNT;
+  private lastMaintenanceMs = 0;
+  private isDraining = false;
+  private drainDeadlineMs: number | undefined;
 
-  constructor(private readonly parts: GatewayDependencies) {
-    const {clock, logger, metrics, settings, codec, lease, control} = parts;
-    const options = {...DEFAULT_OPTIONS, ...parts.options};
+  constructor(private readonly deps: GatewayDependencies) {
+    const {clock, logger, metrics, settings, codec, lease, control} = deps;
+    const options = {...DEFAULT_OPTIONS, ...deps.options};
     const address = `${settings.peers.host}:${settings.peers.port}`;
     this.view = new FleetView(clock, logger);
-    const states = new RunnerStates(clock, logger, options);
-    const held = new HeldCopies(this.view, () => clock.nowMs(), TOLD_FRESH_MS);
+    const runnerStates = new RunnerStates(clock, logger, options);
+    const heldCopies = new HeldCopies(
+      this.view,
+      () => clock.nowMs(),
+      HOLDER_STATE_TTL_MS,
+    );
     const demand = new DemandMeter();
-    const random = parts.random ?? Math.random;
+    const random = deps.random ?? Math.random;
     const rateLimits = new RunnerRateLimits({
       clock,
       logger,
       metrics,
       random,
-      entries: () => this.entries,
+      entries: () => this.entryCount,
     });
     this.view.onRestart(runnerId => {
-      states.noteRestart(runnerId);
-      held.noteRestart(runnerId);
+      runnerStates.noteRestart(runnerId);
+      heldCopies.noteRestart(runnerId);
       rateLimits.noteRestart(runnerId);
     });
-    const usage = new UsageAccounts({
+    const usageAccounts = new UsageAccounts({
       clock,
       windowMs: settings.bounds.usageWindowMs,
       isFirstStart: settings.isFirstStart,
@@ -139,20 +150,20 @@
       isKnown: name => this.view.organisations?.findByName(name) !== undefined,
     });
     const suspects = new CrashSuspects(clock);
-    const crashes = new CrashLedger({
+    const crashLedger = new CrashLedger({
       clock,
       logger,
       metrics,
       epoch: `${address}#${clock.wallMs()}`,
-      onQuarantine: fingerprint => this.quarantine.note(fingerprint),
+      onQuarantine: fingerprint => this.quarantineKeeper.note(fingerprint),
     });
-    this.quarantine = new QuarantineKeeper({
+    this.quarantineKeeper = new QuarantineKeeper({
       clock,
       logger,
-      store: parts.quarantine,
+      store: deps.quarantine,
       lease,
       suspects,
-      isHolderHeard: () => this.link.isHolderHeard,
+      isHolderHeard: () => this.holderLink.isHolderHeard,
     });
     const loadRate = new LoadRate(
       settings.bounds.loadWindowMs,
@@ -160,17 +171,17 @@
         ? clock.nowMs()
         : clock.nowMs() + settings.bounds.loadWindowMs,
     );
-    this.configs = new ConfigFetcher({
+    this.configFetcher = new ConfigFetcher({
       clock,
       logger,
       version: () => this.view.current?.version ?? 0,
       ask: peer => askConfig(peer, options.peerTimeoutMs),
-      take: record => parts.fleet.takeConfig(record),
+      take: record => deps.fleet.takeConfig(record),
     });
     const onNewerConfig = (version: number, peer: string) => {
       logger.info('config-behind', {version, peer});
-      parts.fleet.refreshConfig();
-      this.configs.noteNewer(version, peer);
+      deps.fleet.refreshConfig();
+      this.configFetcher.noteNewer(version, peer);
     };
     this.holder = new Holder({
       clock,
@@ -182,22 +193,22 @@
       options,
       holder: address,
       loadRate,
-      crashes,
+      crashes: crashLedger,
       processorShare: settings.processorShare,
-      usage,
+      usage: usageAccounts,
       onNewerConfig,
-      isLeaving: () => this.isLeaving,
+      isLeaving: () => this.isDraining,
     });
-    this.usage = new UsageKeeper({
+    this.usageKeeper = new UsageKeeper({
       clock,
       logger,
-      store: parts.usage,
+      store: deps.usage,
       lease,
-      accounts: usage,
+      accounts: usageAccounts,
       isFirstStart: settings.isFirstStart,
       nearLimit: () => this.holder.usageNearLimit(),
     });
-    this.link = new HolderLink({
+    this.holderLink = new HolderLink({
       clock,
       logger,
       metrics,
@@ -210,31 +221,31 @@
         processorShare: settings.processorShare,
       },
       demand,
-      usage,
+      usage: usageAccounts,
       suspects,
-      states,
+      states: runnerStates,
       rateLimits,
-      held,
+      held: heldCopies,
       loadRate,
       configVersion: () => this.view.current?.version ?? 0,
       onNewerConfig,
-      runnersChange: () => parts.fleet.runnersChange,
+      runnersChange: () => deps.fleet.runnersChange,
       onConfigCurrent: atMs => this.view.onConfigCurrent(atMs),
-      onRunnersChange: position => parts.fleet.refreshRunners(position),
+      onRunnersChange: position => deps.fleet.refreshRunners(position),
       random,
       onEntries: count => {
-        this.entries = count;
+        this.entryCount = count;
       },
     });
     const {retryRatio, retrySlack, retryWindowMs} = settings.bounds;
-    const budgets = new RetryBudgets({
+    const retryBudgets = new RetryBudgets({
       clock,
       metrics,
       retryRatio,
       retrySlack,
       retryWindowMs,
       usedShare: options.retryBudgetShare,
-      entryCount: () => this.entries,
+      entryCount: () => this.entryCount,
     });
     this.context = {
       clock,
@@ -245,7 +256,7 @@
       view: this.view,
       codec,
       connections: new RunnerConnections(clock, options),
-      runnerStates: states,
+      runnerStates,
       promptGate: new PromptGate(clock),
       rateLimits,
       crashWatch: new CrashWatch({
@@ -257,45 +268,49 @@
         onCrash: crash => suspects.noteCrash(crash),
       }),
       suspects,
-      heldCopies: held,
+      heldCopies,
       demand,
-      usage,
+      usage: usageAccounts,
       workForecast: new WorkForecast(() => clock.nowMs()),
       keysTrustedMs: settings.bounds.keysTrustedMs,
       configApplyMs: settings.bounds.configApplyMs,
-      refreshConfig: () => parts.fleet.refreshConfig(),
-      entryCount: () => this.entries,
-      retryBudgetOf: service => budgets.of(service),
-      ensureAdapter: this.link.ensureAdapter,
-      permitTrial: this.link.permitTrial,
+      refreshConfig: () => deps.fleet.refreshConfig(),
+      entryCount: () => this.entryCount,
+      retryBudgetOf: service => retryBudgets.of(service),
+      ensureAdapter: this.holderLink.ensureAdapter,
+      permitTrial: this.holderLink.permitTrial,
       random,
-      isDraining: () => this.isLeaving,
-      drainDeadlineMs: () => this.cutOffMs,
+      isDraining: () => this.isDraining,
+      drainDeadlineMs: () => this.drainDeadlineMs,
     };
-    this.callers = new GatewayServer(this.context);
-    this.readiness = createReadinessServer(() => this.isReady);
+    this.callerServer = new GatewayServer(this.context);
+    this.readinessServer = createReadinessServer(() => this.isReady);
     this.metricsServer = createMetricsServer(() => metrics.render());
-    this.addGauges();
-    this.peers = new PeerServer(this.peerHandlers());
+    this.registerGauges();
+    this.peerServer = new PeerServer(this.peerHandlers());
   }
 
-  /** Whether the balancer may send callers here. */
+  /** Whether the balancer may send callers to this process. */
   get isReady(): boolean {
-    return this.view.isReady && !this.isLeaving;
+    return this.view.isReady && !this.isDraining;
   }
 
-  /** It leaves, and the balancer sends no callers here any more. */
+  /** The process drains, and the balancer has stopped sending callers to it. */
   get isDrainNoticed(): boolean {
-    return this.cutOffMs !== undefined;
+    return this.drainDeadlineMs !== undefined;
   }
 
   get callersPort(): number {
-    return this.parts.settings.callers.port;
+    return this.deps.settings.callers.port;
   }
 
-  /** Offers the lease to the peers, one after the other, until one takes it. */
+  /**
+   * Offers the lease to one peer after another until one takes it.
+   *
+   * @returns the address of that peer; undefined if none took it.
+   */
   async handOverLease(handover: LeaseHandover): Promise<string | undefined> {
-    const {peers} = this.parts.settings;
+    const {peers} = this.deps.settings;
     const own = `${peers.host}:${peers.port}`;
     const {peerTimeoutMs} = this.context.options;
     for (const address of this.holder.peers()) {
@@ -306,27 +321,29 @@
   }
 
   async start(): Promise<void> {
-    const {settings, fleet, lease, logger, clock} = this.parts;
-    const {callers, readiness, peers, metrics: metricsAt} = settings;
-    await this.callers.listen(callers.port, callers.host);
-    await listen(this.readiness, readiness);
-    if (metricsAt) await this.listenForMetrics(metricsAt);
-    await this.peers.listen(peers);
+    const {settings, fleet, lease, logger, clock} = this.deps;
+    const {callers, readiness, peers, metrics: metricsAddress} = settings;
+    await this.callerServer.listen(callers.port, callers.host);
+    await listen(this.readinessServer, readiness);
+    if (metricsAddress) await this.listenForMetrics(metricsAddress);
+    await this.peerServer.listen(peers);
     fleet.start({
       onConfig: config => this.view.onConfig(config),
       onConfigCurrent: () => this.view.onConfigCurrent(),
       onRegistration: registration => this.view.onRegistration(registration),
       onRemoval: runnerId => this.view.onRemoval(runnerId),
       onCaughtUp: () => this.view.onCaughtUp(),
-      isRelayed: () => this.link.isRelayed,
+      isRelayed: () => this.holderLink.isRelayed,
     });
     lease.start();
     this.holder.start();
-    this.link.start();
-    this.quarantine.start();
-    this.usage.start();
-    this.tidiedMs = clock.nowMs();
-    this.stopTidying = repeatEvery(clock, JUDGE_INTERVAL_MS, () => this.tidy());
+    this.holderLink.start();
+    this.quarantineKeeper.start();
+    this.usageKeeper.start();
+    this.lastMaintenanceMs = clock.nowMs();
+    this.stopMaintenance = repeatEvery(clock, MAINTENANCE_INTERVAL_MS, () =>
+      this.runMaintenance(),
+    );
     logger.info('started', {
       callers: `${callers.host}:${callers.port}`,
       peers: `${peers.host}:${peers.port}`,
@@ -334,63 +351,63 @@
   }
 
   /**
-   * Leaves without cutting a request off. The balancer sends callers here
-   * until it has noticed that this process isn't ready; those are still
-   * served, each on a connection that closes with its answer, and idle
-   * connections close only then.
+   * Drains the process without interrupting requests. The balancer sends callers
+   * here until it notices that the process isn't ready. Until then callers are
+   * served, each response closes its connection, and idle connections stay open.
    *
-   * A holder of the lease gives orders until then: the next one may have to wait
-   * before it orders, and may be stopped itself while it waits. Any other process
-   * leaves the group at once, so that the lease isn't dealt to it.
+   * The holder of the lease keeps giving orders during that time, because its
+   * successor may have to wait before its first order and may itself be stopped
+   * meanwhile. Any other process leaves the group at once, so that it isn't
+   * assigned the lease.
    */
   async drain(): Promise<void> {
-    const {clock, lease, logger, settings} = this.parts;
+    const {clock, lease, logger, settings} = this.deps;
     const {noticeMs, graceMarginMs} = this.context.options;
     const startedMs = clock.nowMs();
-    this.isLeaving = true;
-    logger.info('draining', {open: this.callers.openRequests});
+    this.isDraining = true;
+    logger.info('draining', {open: this.callerServer.openRequests});
     const endMs = startedMs + settings.bounds.graceMs - graceMarginMs;
     let released = lease.current().isHolder ? undefined : lease.release();
     await released;
     while (clock.nowMs() < endMs) {
       if (clock.nowMs() >= endMs - RELEASE_MS) released ??= lease.release();
-      const isNoticed = clock.nowMs() - startedMs >= noticeMs;
-      if (isNoticed) this.cutOffMs = endMs;
-      // A caller that comes back after a refusal needs time at another entry.
-      if (isNoticed) this.callers.refuseUnsent();
-      if (isNoticed) this.callers.closeIdleConnections();
-      if (isNoticed && this.callers.openRequests === 0) break;
+      const isDrainNoticed = clock.nowMs() - startedMs >= noticeMs;
+      if (isDrainNoticed) this.drainDeadlineMs = endMs;
+      // A refused caller needs enough time left to retry at another entry.
+      if (isDrainNoticed) this.callerServer.refuseUnsent();
+      if (isDrainNoticed) this.callerServer.closeIdleConnections();
+      if (isDrainNoticed && this.callerServer.openRequests === 0) break;
       await new Promise<void>(resolve => {
         clock.setTimer(DRAIN_POLL_MS, resolve);
       });
     }
     await (released ?? lease.release());
     logger.info('drained', {
-      open: this.callers.openRequests,
+      open: this.callerServer.openRequests,
       tookMs: Math.round(clock.nowMs() - startedMs),
     });
   }
 
   stop(): void {
-    this.parts.fleet.stop();
+    this.deps.fleet.stop();
     this.holder.stop();
-    this.link.stop();
-    this.quarantine.stop();
-    this.usage.stop();
-    this.configs.stop();
-    this.stopTidying();
-    this.callers.stopAccepting();
-    this.readiness.close();
+    this.holderLink.stop();
+    this.quarantineKeeper.stop();
+    this.usageKeeper.stop();
+    this.configFetcher.stop();
+    this.stopMaintenance();
+    this.callerServer.stopAccepting();
+    this.readinessServer.close();
     this.metricsServer.close();
-    this.peers.close();
+    this.peerServer.close();
   }
 
-  /** Callers are served without metrics too; a taken port is only told. */
+  /** Only logs a failure, such as a port in use: callers need no metrics. */
   private async listenForMetrics(at: ListenAddress): Promise<void> {
     try {
       await listen(this.metricsServer, at);
     } catch (thrown) {
-      this.parts.logger.warn('metrics-unavailable', {
+      this.deps.logger.warn('metrics-unavailable', {
         address: `${at.host}:${at.port}`,
         error: thrown instanceof Error ? thrown.message : String(thrown),
       });
@@ -398,8 +415,8 @@
   }
 
   private peerHandlers(): PeerHandlers {
-    const {holder, link} = this;
-    const {fleet} = this.parts;
+    const {holder, holderLink: link} = this;
+    const {fleet} = this.deps;
     return {
       config: () => fleet.configRecord && toldConfigOf(fleet.configRecord),
       exchange: link.answer,
@@ -410,30 +427,31 @@
     };
   }
 
-  /** Values that are read when the metrics are. */
-  private addGauges(): void {
-    const {clock, metrics, lease} = this.parts;
-    const sinceMs = (atMs: number) => Math.round(clock.nowMs() - atMs);
+  /** Registers values that are read when the metrics are rendered. */
+  private registerGauges(): void {
+    const {clock, metrics, lease} = this.deps;
+    const ageMs = (atMs: number) => Math.round(clock.nowMs() - atMs);
     metrics.gauge('config_version', () => this.view.current?.version ?? 0);
     metrics.gauge('config_heard_age_ms', () =>
-      Math.round(this.view.configAgeMs ?? sinceMs(0)),
+      Math.round(this.view.configAgeMs ?? ageMs(0)),
     );
-    metrics.gauge('runners_heard_age_ms', () => sinceMs(this.view.runnersAtMs));
+    metrics.gauge('runners_heard_age_ms', () => ageMs(this.view.runnersAtMs));
     metrics.gauge('runners_known', () => [...this.view.allRunners()].length);
-    metrics.gauge('open_requests', () => this.callers.openRequests);
+    metrics.gauge('open_requests', () => this.callerServer.openRequests);
     metrics.gauge('runner_connections_opened', () => {
       return this.context.connections.opened;
     });
     metrics.gauge('is_holder', () => Number(lease.current().isHolder));
     metrics.gauge('order_token', () => lease.current().fencingToken);
-    metrics.gauge('entries_heard', () => this.entries);
+    metrics.gauge('entries_heard', () => this.entryCount);
   }
 
-  private tidy(): void {
-    const nowMs = this.parts.clock.nowMs();
-    const lateMs = nowMs - this.tidiedMs - JUDGE_INTERVAL_MS;
-    this.parts.metrics.observeMs('loop_delay_ms', Math.max(0, lateMs));
-    this.tidiedMs = nowMs;
+  /** Measures the event loop's delay, ejects runners and drops stale state. */
+  private runMaintenance(): void {
+    const nowMs = this.deps.clock.nowMs();
+    const lateMs = nowMs - this.lastMaintenanceMs - MAINTENANCE_INTERVAL_MS;
+    this.deps.metrics.observeMs('loop_delay_ms', Math.max(0, lateMs));
+    this.lastMaintenanceMs = nowMs;
 
     this.context.runnerStates.judge();
     this.context.runnerStates.keepOnly(
--- a/packages/banyanfold-gateway/src/gatewayServer.ts
+++ b/packages/banyanfold-gateway/src/gatewayServer.ts
@@ -12,37 +12,37 @@
 import {shortDigest} from './callers/keyDigest.js';
 import type {CallerLimits, DecodedRequest} from './types.js';
 
-/** Before a configuration is known; callers are refused then anyway. */
+/** Used until a configuration is known; callers are refused then anyway. */
 const LIMITS_BEFORE_CONFIG: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 1_048_576,
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
-/** Heads are bounded by the configuration, which may allow more later. */
-const PARSER_HEADER_BYTES = 131_072;
-/** Callers reuse a connection up to its announced timeout; keep it longer. */
-const IDLE_SLACK_MS = 1_500;
-/** Callers give up on a connection that nothing is read from after 1 s. */
-const START_WAIT_MS = 600;
-/** A caller that is refused for want of a configuration may come back. */
-const NOT_READY_RETRY_MS = 500;
-/** Of a stack: the error, and where it came from. */
-const ERROR_LINES = 6;
+/** Limit of the parser; the configured limit is lower and may be raised later. */
+const MAX_PARSED_HEADER_BYTES = 131_072;
+/** Added to the announced idle timeout, as callers reuse connections until then. */
+const KEEP_ALIVE_MARGIN_MS = 1_500;
+/** Shorter than the 1 s after which callers abandon a silent connection. */
+const READY_WAIT_MS = 600;
+/** Retry delay for callers that are refused because of the configuration's state. */
+const NOT_READY_RETRY_AFTER_MS = 500;
+/** Lines of a stack trace that are logged: the error and its origin. */
+const MAX_STACK_LINES = 6;
 
-/** Takes callers' requests and carries each to its answer. */
+/** HTTP server for callers: validates, authorizes and handles their requests. */
 export class GatewayServer {
   readonly server: Server;
-  private readonly runs = new Set<RequestHandler>();
+  private readonly activeRequests = new Set<RequestHandler>();
   openRequests = 0;
-  private nextTurns: Promise<void> | undefined;
+  private pendingLoopTurns: Promise<void> | undefined;
 
   constructor(private readonly context: GatewayContext) {
     this.server = http.createServer(
-      {maxHeaderSize: PARSER_HEADER_BYTES, requestTimeout: 0},
+      {maxHeaderSize: MAX_PARSED_HEADER_BYTES, requestTimeout: 0},
       (request, response) => {
         this.handle(request, response).catch((thrown: unknown) =>
-          this.endFailed(response, thrown),
+          this.handleUnexpectedError(response, thrown),
         );
       },
     );
@@ -63,14 +63,14 @@
     });
   }
 
-  /** Closes connections on which no request is open or has begun. */
+  /** Closes connections without a request in flight. */
   closeIdleConnections(): void {
     this.server.closeIdleConnections();
   }
 
-  /** Refuses what waits here, so that it can go to another entry. */
+  /** Refuses requests that are not sent yet, so they can go to another entry. */
   refuseUnsent(): void {
-    for (const run of this.runs) run.refuseUnsent();
+    for (const handler of this.activeRequests) handler.refuseUnsent();
   }
 
   stopAccepting(): void {
@@ -84,7 +84,7 @@
   private applyLimits(): void {
     const {headerTimeoutMs, idleTimeoutMs} = this.limits;
     this.server.headersTimeout = headerTimeoutMs;
-    this.server.keepAliveTimeout = idleTimeoutMs + IDLE_SLACK_MS;
+    this.server.keepAliveTimeout = idleTimeoutMs + KEEP_ALIVE_MARGIN_MS;
   }
 
   private async handle(
@@ -97,28 +97,28 @@
     response.once('close', () => {
       this.openRequests -= 1;
     });
-    const problem = this.headProblem(request);
-    if (problem !== undefined) {
-      this.turnAway(request, response, problem, true);
+    const errorStatus = this.checkHead(request);
+    if (errorStatus !== undefined) {
+      this.refuse(request, response, errorStatus, true);
       return;
     }
     const body = await readBody(request, this.limits.maxBodyBytes);
     if (body === 'broken-off') return;
     if (body === 'too-large') {
-      this.turnAway(request, response, ERROR_STATUS.tooLarge, true);
+      this.refuse(request, response, ERROR_STATUS.tooLarge, true);
       return;
     }
-    if (!context.view.isReady) await this.untilReady();
-    await this.untilCloseIsRead();
+    if (!context.view.isReady) await this.waitUntilReady();
+    await this.waitForUnreadCloses();
     if (response.closed || request.socket.readableEnded) return;
     if (!context.view.isReady) {
-      this.turnAway(request, response, ERROR_STATUS.notRun, false);
+      this.refuse(request, response, ERROR_STATUS.notRun, false);
       return;
     }
     const host = request.headers.host ?? '';
     const route = context.view.route(host, request.url ?? '/');
     if (!route) {
-      this.turnAwayUnrouted(request, response);
+      this.refuseUnrouted(request, response);
       return;
     }
     const decoded = context.codec.decodeRequest(request.rawHeaders);
@@ -131,11 +131,11 @@
     });
     const caller = identity.decide();
     if (caller.kind !== 'admitted') {
-      this.turnAwayCaller(request, response, decoded, caller);
+      this.refuseCaller(request, response, decoded, caller);
       return;
     }
     const {organisation} = caller;
-    const run = new RequestHandler({
+    const handler = new RequestHandler({
       context,
       request,
       response,
@@ -146,40 +146,46 @@
       body,
       startedMs,
     });
-    this.runs.add(run);
+    this.activeRequests.add(handler);
     try {
-      await run.run();
+      await handler.run();
     } finally {
-      this.runs.delete(run);
+      this.activeRequests.delete(handler);
     }
   }
 
   /**
-   * An error that nobody foresaw ends one request, not the process: its caller
-   * sends it again, and the next entry would end by it as this one did. A runner
-   * may have run it, so that nothing is promised.
+   * Ends one request after an unexpected error, but not the process: its caller
+   * retries, and the request would end the next entry too. A runner may have run
+   * the request, so the response doesn't rule that out.
    */
-  private endFailed(response: ServerResponse, thrown: unknown): void {
-    const {metrics, logger, isDraining: isLeaving} = this.context;
+  private handleUnexpectedError(
+    response: ServerResponse,
+    thrown: unknown,
+  ): void {
+    const {metrics, logger, isDraining} = this.context;
     metrics.count('requests_failed_inside_total');
     const stack = thrown instanceof Error ? thrown.stack : String(thrown);
     logger.error('request-failed', {
-      error: (stack ?? '').split('\n').slice(0, ERROR_LINES).join(' | '),
+      error: (stack ?? '').split('\n').slice(0, MAX_STACK_LINES).join(' | '),
     });
     if (response.headersSent) {
       response.destroy();
       return;
     }
-    const answer = {status: ERROR_STATUS.unknown, reason: 'internal-error'};
-    sendErrorResponse(response, answer, isLeaving());
+    const errorResponse = {
+      status: ERROR_STATUS.unknown,
+      reason: 'internal-error',
+    };
+    sendErrorResponse(response, errorResponse, isDraining());
   }
 
   /**
-   * A process that has just started knows the configuration within some tens
-   * of ms. A caller whose connection was cut comes back once; it would be
-   * refused for good just before it could be served.
+   * Waits for the first configuration, which a new process reads within some tens
+   * of ms. A caller whose connection was closed retries only once, so a refusal
+   * now would be final although it could be served shortly after.
    */
-  private untilReady(): Promise<void> {
+  private waitUntilReady(): Promise<void> {
     const {view, clock} = this.context;
     return new Promise(resolve => {
       const finish = () => {
@@ -187,7 +193,7 @@
         unsubscribe();
         resolve();
       };
-      const timer = clock.setTimer(START_WAIT_MS, finish);
+      const timer = clock.setTimer(READY_WAIT_MS, finish);
       const unsubscribe = view.onChange(() => {
         if (view.isReady) finish();
       });
@@ -195,25 +201,26 @@
   }
 
   /**
-   * Lets what lies unread on the sockets be read once, so that the close of a
-   * caller that left while this process was behind is seen before its request
-   * is sent on. Without it, requests of callers that were gone for half a second
-   * reached runners: a request and the close behind it are read in two turns of
-   * the loop, and a kept connection takes the request in the first.
+   * Waits for two turns of the event loop, so that pending data is read from the
+   * sockets and a caller that disconnected is detected before its request is
+   * sent. A request and the close that follows it are read in two turns, and a
+   * kept-alive connection handles the request in the first. Without this wait,
+   * requests of callers that had left half a second before reached runners.
    */
-  private untilCloseIsRead(): Promise<void> {
-    this.nextTurns ??= new Promise(resolve => {
+  private waitForUnreadCloses(): Promise<void> {
+    this.pendingLoopTurns ??= new Promise(resolve => {
       setImmediate(() => {
-        this.nextTurns = undefined;
+        this.pendingLoopTurns = undefined;
         setImmediate(resolve);
       });
     });
-    return this.nextTurns;
+    return this.pendingLoopTurns;
   }
 
-  private headProblem(request: IncomingMessage): number | undefined {
+  /** Returns the error status for a head that exceeds the limits, if any. */
+  private checkHead(request: IncomingMessage): number | undefined {
     let bytes = 0;
-    for (const text of request.rawHeaders) bytes += text.length + 2;
+    for (const value of request.rawHeaders) bytes += value.length + 2;
     if (bytes > this.limits.maxHeaderBytes) return ERROR_STATUS.headTooLarge;
     const length = Number(request.headers['content-length'] ?? 0);
     if (length > this.limits.maxBodyBytes) return ERROR_STATUS.tooLarge;
@@ -221,34 +228,34 @@
   }
 
   /**
-   * No route is a final answer, which only the newest configuration can give: the
-   * route may be in one that has not been heard of here.
+   * Refuses a request without a route. A 404 is final, so it requires a confirmed
+   * configuration: a newer one, not known here yet, may contain the route.
    */
-  private turnAwayUnrouted(
+  private refuseUnrouted(
     request: IncomingMessage,
     response: ServerResponse,
   ): void {
     const {view, configApplyMs, refreshConfig} = this.context;
     if (view.isConfigConfirmed(configApplyMs)) {
-      this.turnAway(request, response, ERROR_STATUS.noRoute, false);
+      this.refuse(request, response, ERROR_STATUS.noRoute, false);
       return;
     }
     refreshConfig();
-    this.turnAway(request, response, ERROR_STATUS.notRun, false);
+    this.refuse(request, response, ERROR_STATUS.notRun, false);
   }
 
-  /** Refuses a caller that may not use the route, or may not be known to. */
-  private turnAwayCaller(
+  /** Refuses a caller that is unauthorized or can't be authorized yet. */
+  private refuseCaller(
     request: IncomingMessage,
     response: ServerResponse,
     {keyDigest, request: {requestId}}: DecodedRequest,
     caller: Exclude<CallerDecision, {kind: 'admitted'}>,
   ): void {
     if (caller.kind === 'undecided') {
-      this.turnAway(request, response, ERROR_STATUS.notRun, false);
+      this.refuse(request, response, ERROR_STATUS.notRun, false);
       return;
     }
-    const {metrics, logger, view, isDraining: isLeaving} = this.context;
+    const {metrics, logger, view, isDraining} = this.context;
     const {reason} = caller;
     metrics.count('callers_unauthorized_total', {reason});
     logger.info('unauthorized', {
@@ -259,10 +266,10 @@
       config: view.current?.version,
     });
     const status = ERROR_STATUS.unauthorized;
-    sendErrorResponse(response, {status, reason}, isLeaving());
+    sendErrorResponse(response, {status, reason}, isDraining());
   }
 
-  private turnAway(
+  private refuse(
     request: IncomingMessage,
     response: ServerResponse,
     status: number,
@@ -283,7 +290,7 @@
         status,
         reason: http.STATUS_CODES[status] ?? 'refused',
         retryAfterMs:
-          status === ERROR_STATUS.notRun ? NOT_READY_RETRY_MS : undefined,
+          status === ERROR_STATUS.notRun ? NOT_READY_RETRY_AFTER_MS : undefined,
       },
       closeConnection || this.context.isDraining(),
     );
--- a/packages/banyanfold-gateway/src/options.ts
+++ b/packages/banyanfold-gateway/src/options.ts
@@ -2,68 +2,69 @@
 
 const durationMs = z.number().nonnegative();
 
-/** Settings of the gateway, each with its unit and where its figure is from. */
+/** Settings of the gateway, with the reasons for their defaults. */
 export const gatewayOptionsSchema = z.strictObject({
-  /** A new connection to a runner takes about 1 ms; lost packets take more. */
+  /** A new connection to a runner takes about 1 ms, more if packets are lost. */
   connectTimeoutMs: durationMs.default(400),
   /**
-   * A connection rests this long before it is used again: a runner that sends
-   * a second answer sends it within a few ms, and it closes the connection
-   * instead of being taken for the next request's answer.
+   * Idle time before a connection is reused. A faulty runner that sends a second
+   * response does so within a few ms; the connection is then closed, instead of
+   * that response being taken for the next request's.
    */
   reuseRestMs: durationMs.default(8),
-  /** Idle connections to runners are closed after this; runners keep 5 s up. */
+  /** Idle connections are closed after this; runners keep theirs for 5 s or more. */
   runnerIdleMs: durationMs.default(4_000),
-  /** An answer is given this long before the caller's deadline passes. */
+  /** A response is sent at least this long before the caller's deadline. */
   deadlineMarginMs: durationMs.default(15),
-  /** An attempt with less than this left can't succeed. */
+  /** No attempt is made with less time left, as it could not succeed. */
   minAttemptMs: durationMs.default(40),
-  /** Pause after a runner couldn't be reached; doubles up to the cap. */
+  /** Pause after a failed connection to a runner; doubles up to the cap. */
   unreachablePauseMs: durationMs.default(500),
   unreachablePauseCapMs: durationMs.default(4_000),
-  /** Interval at which an entry tells the holder its demand. */
+  /** Interval at which an entry reports its demand to the holder. */
   exchangeIntervalMs: durationMs.default(250),
-  /** The shortest one, while callers wait for copies and entries are few. */
+  /** The same while callers wait for copies and entries are few. */
   urgentIntervalMs: durationMs.default(60),
-  /** Interval of the holder's reports from each runner, where it has the time. */
+  /** Interval at which the holder requests a report from each runner, at best. */
   reportIntervalMs: durationMs.default(500),
   /**
-   * Reports a second that the holder asks for with one core; with a share of one
-   * so much fewer. One is reckoned at 1 ms of it, so that a tenth goes
-   * into reports; not measured alone.
+   * Reports that the holder requests per second and CPU core, in proportion to its
+   * CPU share. A report is estimated to take 1 ms, so that a tenth of the CPU is
+   * used for them.
    */
   reportsPerCoreSecond: z.number().positive().default(100),
   /**
-   * The same of runners that nothing is known of yet, after some at once: a process
-   * that gets the lease on thousands of runners has to go on renewing it.
+   * The same limit for runners without a report so far, after an initial batch. A
+   * new holder with thousands of runners must still be able to renew its lease.
    */
   firstReportsPerCoreSecond: z.number().positive().default(300),
-  /** The same from when an order is expected to be over; loads take 0.5 s up. */
+  /** Interval of reports once an order should be done; loads take at least 0.5 s. */
   busyReportIntervalMs: durationMs.default(120),
-  /** Interval of the holder's decisions on copies of models. */
+  /** Interval at which the holder plans the copies of models. */
   planIntervalMs: durationMs.default(150),
-  /** An adapter of 66 MB takes up to 14 ms to fetch. */
+  /** Wait after an adapter is ordered; fetching one of 66 MB takes up to 14 ms. */
   adapterSettleMs: durationMs.default(16),
   /**
-   * A call to another entry that takes longer is lost. A small VM stood still for
-   * 0.28 s at times, when its share was used up and garbage was collected; both
-   * ends may, and a call that is given up costs the machine as much as one that
-   * is heard.
+   * Timeout of calls to other entries. A small VM stalled for 0.28 s at times, when
+   * its CPU share was used up and garbage was collected. Both ends may stall, and a
+   * call that times out costs as much CPU as one that succeeds.
    */
   peerTimeoutMs: durationMs.default(1_000),
   /**
-   * A caller waits for its adapter no longer than this for each try: behind a
-   * holder that is frozen it would lose the time to go elsewhere.
+   * Longest wait for an adapter in each attempt, so that a frozen holder leaves the
+   * request enough time for another runner.
    */
   adapterTimeoutMs: durationMs.default(400),
-  /** The balancer notices within two checks a second apart. */
+  /** Time for the balancer to notice a drain: two checks, one second apart. */
   noticeMs: durationMs.default(2_600),
-  /** Left of the grace period when what still runs is ended. */
+  /** Time left of the grace period when open requests are ended. */
   graceMarginMs: durationMs.default(500),
-  /** Whole answers up to this are gathered before they go on. */
+  /** Largest response that is buffered; streams are not limited. */
   maxGatheredBytes: z.number().int().positive().default(8_388_608),
-  /** Share of the allowed repeats that is used, so that a count that differs
-   * by some requests does not pass the bound. */
+  /**
+   * Share of the allowed retries that is used, so that a deviation of a few
+   * requests in the count does not exceed the limit.
+   */
   retryBudgetShare: z.number().min(0).max(1).default(0.85),
 });
 
--- a/packages/banyanfold-gateway/src/readinessServer.ts
+++ b/packages/banyanfold-gateway/src/readinessServer.ts
@@ -4,7 +4,7 @@
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** Tells the balancer whether new callers may come here. */
+/** Answers the balancer's health checks: 200 while ready, otherwise 503. */
 export function createReadinessServer(isReady: () => boolean): Server {
   return http.createServer((_request, response) => {
     response.writeHead(isReady() ? OK : UNAVAILABLE);
@@ -12,7 +12,7 @@
   });
 }
 
-/** Serves the metrics at `/metrics`, in the usual text format. */
+/** Serves the metrics at `/metrics` in the Prometheus text format. */
 export function createMetricsServer(render: () => string): Server {
   return http.createServer((request, response) => {
     if (request.url !== '/metrics') {
--- a/packages/banyanfold-gateway/src/repeatEvery.ts
+++ b/packages/banyanfold-gateway/src/repeatEvery.ts
@@ -1,23 +1,24 @@
 import type {Clock, Timer} from '@banyanfold/core';
 
 /**
- * Does something at an interval, counted from the end of the time before.
+ * Calls a function repeatedly, with an interval between the end of one call and
+ * the start of the next.
  *
- * @returns what ends it.
- * @example const stop = repeatEvery(clock, 500, () => states.judge());
+ * @returns a function that stops the repetition.
+ * @example const stop = repeatEvery(clock, 500, () => connections.closeIdle());
  */
 export function repeatEvery(
   clock: Clock,
   intervalMs: number,
-  work: () => void,
+  callback: () => void,
 ): () => void {
   let timer: Timer;
-  const arm = () => {
+  const schedule = () => {
     timer = clock.setTimer(intervalMs, () => {
-      work();
-      arm();
+      callback();
+      schedule();
     });
   };
-  arm();
+  schedule();
   return () => timer.cancel();
 }
--- a/packages/banyanfold-gateway/src/types.ts
+++ b/packages/banyanfold-gateway/src/types.ts
@@ -4,8 +4,8 @@
 import type {LeaseHandover} from './peers/peerContract.js';
 
 /**
- * What the gateway knows and the ports through which it knows it. An adapter
- * fills the ports; nothing here depends on how a deployment spells its wire.
+ * The gateway's domain types, and the interfaces that connect it to a deployment.
+ * An adapter implements the interfaces; nothing here depends on a wire format.
  */
 
 /** Host and port of a listener. */
@@ -14,7 +14,7 @@
   port: number;
 }
 
-/** What may be repeated, by kind of route. */
+/** Kinds of routes, which differ in what may be retried. */
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'streaming';
 
 export interface ServiceShare {
@@ -22,30 +22,31 @@
   weight: number;
 }
 
+/** A route, and how its requests are handled. */
 export interface RoutePolicy {
   name: string;
   host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** The longest that a caller is kept waiting. */
+  /** Longest time that a caller is kept waiting. */
   timeoutMs: number;
-  /** First token or whole answer within this earns the full value. */
+  /** Target time for the first token of a stream or for a complete response. */
   targetMs: number;
   /** 0 is the most urgent. */
   priority: number;
   services: readonly ServiceShare[];
-  /** Runners that one request may be sent to. */
+  /** Number of attempts that one request may use. */
   maxAttempts: number;
-  /** A stream may go on at another runner. */
+  /** A stream may be resumed on another runner. */
   resumable: boolean;
   /** Callers need no key. */
   isPublic: boolean;
-  /** The longest pause between events; undefined where nothing streams. */
+  /** Longest pause between two events; undefined if the route doesn't stream. */
   pauseTargetMs?: number;
   /**
-   * Callers leave a stream after so long without an event, also before its
-   * first one; undefined where they wait for the whole answer.
+   * Callers disconnect from a stream after this time without an event, also before
+   * the first one; undefined if they wait for the complete response.
    */
   callerIdleTimeoutMs?: number;
 }
@@ -54,19 +55,19 @@
   name: string;
   weightsMb: number;
   adapterMb: number;
-  /** Time of a load from the weight store, from disk and from memory. */
+  /** Duration of a load from the weight store, from disk and from memory. */
   storeLoadMs: number;
   diskLoadMs: number;
   memoryLoadMs: number;
 }
 
-/** What the runners of a service can hold and run. */
+/** Capacity of the runners of a service. */
 export interface EngineSpec {
   slots: number;
   kvCapacityTokens: number;
   weightsMb: number;
   adapterSlots: number;
-  /** Loads a second that the weight store allows over all runners. */
+  /** Loads per second that the weight store allows over all runners. */
   loadsPerSecond: number;
   models: ReadonlyMap<string, ModelSpec>;
 }
@@ -77,7 +78,7 @@
   engine?: EngineSpec;
 }
 
-/** Bounds on what callers send. */
+/** Limits on what callers send. */
 export interface CallerLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -85,23 +86,23 @@
   idleTimeoutMs: number;
 }
 
-/** How much an organisation may have run, over all entries together. */
+/** Usage that an organisation is allowed, over all entries together. */
 export interface UsageCap {
   unit: 'requests' | 'tokens';
   ratePerSecond: number;
   burst: number;
-  /** What a request without token counts amounts to, where tokens are counted. */
+  /** Amount charged for a request without token counts, if the unit is tokens. */
   plainTokens: number;
 }
 
-/** Callers that are told apart, have a priority and are capped together. */
+/** Callers that share keys, a priority and a usage cap. */
 export interface Organisation {
   name: string;
-  /** Digests of the keys that its callers carry. */
+  /** Digests of the keys of its callers. */
   keyDigests: readonly string[];
-  /** Goes before the priority of a route. */
+  /** Overrides the priority of a route. */
   priority?: number;
-  /** Undefined for one without a limit. */
+  /** Undefined if usage is not limited. */
   usageCap?: UsageCap;
 }
 
@@ -110,7 +111,7 @@
   routes: readonly RoutePolicy[];
   services: ReadonlyMap<string, ServiceSpec>;
   limits: CallerLimits;
-  /** Undefined where callers carry no keys. */
+  /** Undefined if callers need no keys. */
   organisations?: readonly Organisation[];
 }
 
@@ -120,34 +121,37 @@
   adapters: readonly string[];
 }
 
-/** What a runner says of itself in its registration. */
+/** What a runner states about itself in its registration. */
 export interface RunnerRegistration {
-  /** Names the runner; one that crashed may start again under it. */
+  /** Identifies the runner; it keeps the id when it restarts after a crash. */
   runnerId: string;
-  /** Start of this life, Unix time; a later life knows nothing of it. */
+  /**
+   * Unix time at which this incarnation started. A runner loses its state when it
+   * restarts.
+   */
   bornMs: number;
   service: string;
   address: string;
   failureDomain: string;
   slots: number;
   leaving: boolean;
-  /** Time until it is gone, where it was told at short notice. */
+  /** Time until the runner stops, if it was given short notice. */
   remainingMs?: number;
-  /** Undefined at a plain service. */
+  /** Undefined for a plain service. */
   models?: readonly HeldModel[];
-  /** Rises with each heartbeat of a life; an older one says nothing new. */
+  /** Increases with each heartbeat of an incarnation; lower ones are stale. */
   heartbeatNumber: number;
 }
 
-/** What a runner reports about its load, some hundred ms late. */
+/** What a runner reports about its load, some hundred ms old on arrival. */
 export interface RunnerReport {
-  /** Start of the life that reports, Unix time. */
+  /** Unix time at which the reporting incarnation started. */
   bornMs: number;
   models: readonly HeldModel[];
-  /** Adapters that are being fetched, as model and name. */
+  /** Adapters that are being fetched. */
   pendingAdapters: ReadonlyArray<{model: string; adapter: string}>;
   busy: boolean;
-  /** Orders accepted since its start. */
+  /** Number of orders accepted since the start. */
   orderNumber: number;
   running: number;
   queued: number;
@@ -164,7 +168,7 @@
   model: string;
   /** Undefined for an order on the model itself. */
   adapter?: string;
-  /** Refused when the runner has accepted another number of orders. */
+  /** The runner refuses the order if its own order number differs. */
   expectedOrderNumber?: number;
   holder: string;
   fencingToken: number;
@@ -173,12 +177,13 @@
 export type OrderOutcome =
   'accepted' | 'holds' | 'conflict' | 'fenced' | 'invalid' | 'other-runner';
 
+/** A part of a prompt, which several requests may share. */
 export interface PromptPart {
   partId: string;
   tokens: number;
 }
 
-/** A caller's request as far as routing reads it. */
+/** The part of a caller's request that routing uses. */
 export interface InferenceRequest {
   requestId?: string;
   model?: string;
@@ -186,21 +191,21 @@
   promptTokens: number;
   maxOutputTokens: number;
   promptParts: readonly PromptPart[];
-  /** How long the caller waits; undefined when it doesn't say. */
+  /** How long the caller waits, in ms; undefined if it doesn't state it. */
   deadlineMs?: number;
-  /** The last event that the caller has of a stream it resumes. */
+  /** Id of the last event that the caller received of a stream it resumes. */
   lastEventId?: string;
 }
 
 export interface DecodedRequest {
   request: InferenceRequest;
-  /** Name and value by turns: what goes on to the runner unchanged. */
+  /** Headers forwarded to the runner unchanged, as alternating names and values. */
   passedHeaders: string[];
-  /** Digest of the caller's key; undefined without one that is well-formed. */
+  /** Digest of the caller's key; undefined if it is missing or malformed. */
   keyDigest?: string;
 }
 
-/** What the gateway adds to one attempt. */
+/** Fields that the gateway adds to an attempt. */
 export interface AttemptFields {
   runnerId: string;
   remainingMs: number;
@@ -210,27 +215,27 @@
   organisation?: string;
 }
 
-/** What an answer's head says. */
+/** What the head of a runner's response states. */
 export interface ResponseInfo {
   requestId?: string;
-  /** The runner vouches that the answer is its own. */
+  /** The runner confirms that the response is its own. */
   signed: boolean;
-  /** The runner vouches that it did not run the request. */
+  /** The runner confirms that it did not run the request. */
   notExecuted: boolean;
-  /** Another runner has the address by now. */
+  /** Another runner uses the address now. */
   fromOtherRunner: boolean;
-  /** The body was recoded on the way, so it isn't the runner's. */
+  /** The body was re-encoded in transit, so it isn't the runner's. */
   encoded: boolean;
   /**
-   * What the runner takes from all VMs together, for as long as its answers say
-   * so; undefined without a limit.
+   * Rate that the runner accepts from all VMs together, in force for as long as
+   * its responses state it; undefined if not limited.
    */
   requestsPerSecond?: number;
 }
 
 export type ResponseHeaders = Record<string, string | string[] | undefined>;
 
-/** Translates between the wire's headers and the gateway's fields. */
+/** Translates between headers on the wire and the gateway's types. */
 export interface RequestCodec {
   decodeRequest(rawHeaders: readonly string[]): DecodedRequest;
   encodeAttempt(decoded: DecodedRequest, fields: AttemptFields): string[];
@@ -239,13 +244,13 @@
     headers: ResponseHeaders,
     runnerId: string,
   ): ResponseInfo;
-  /** What of an answer's head goes on to the caller. */
+  /** Selects the headers of a response that are forwarded to the caller. */
   forwardedResponseHeaders(headers: ResponseHeaders): ResponseHeaders;
 }
 
-/** Calls to a runner that are no requests of callers. */
+/** Control calls to runners. */
 export interface RunnerControl {
-  /** An error says that the order may still be carried out. */
+  /** On an error the order may still be carried out. */
   order(
     runnerId: string,
     address: string,
@@ -257,124 +262,133 @@
   ): Promise<Result<RunnerReport, BanyanfoldError>>;
 }
 
-/** A configuration as its source spells it; it holds callers' keys. */
+/** A configuration as encoded by its source; it contains callers' keys. */
 export interface ConfigRecord {
   version: number;
   bytes: Buffer;
 }
 
-/** Where a configuration or a registration comes from. */
+/** Source of the configuration and of runners' registrations. */
 export interface FleetSource {
   start(handlers: FleetHandlers): void;
-  /** The configuration that was given last. */
+  /** The configuration that was last passed to the handlers. */
   readonly configRecord: ConfigRecord | undefined;
-  /** Gives a configuration that a peer has read. */
+  /** Accepts a configuration that a peer has read. */
   takeConfig(record: ConfigRecord): void;
-  /** Reads the configuration anew, because a peer has a newer one. */
+  /** Reads the configuration again, because a peer has a newer one. */
   refreshConfig(): void;
   /**
-   * Position after the last record read that changed which runners there are
-   * or whether one leaves; it means the same to all readers.
+   * Position after the last record read that added or removed a runner or changed
+   * whether it is leaving; comparable between readers.
    */
   readonly runnersChange: number;
-  /** Reads the runners anew, unless it has read up to that position. */
+  /** Reads the runners again, unless it has read up to that position. */
   refreshRunners(runnersChange: number): void;
   stop(): void;
 }
 
 export interface FleetHandlers {
   onConfig(config: FleetConfig): void;
-  /** The source has nothing newer than what it gave last. */
+  /** The source has nothing newer than the last configuration. */
   onConfigCurrent(): void;
   onRegistration(registration: RunnerRegistration): void;
   onRemoval(runnerId: string): void;
   /** The source has been read to its end once. */
   onCaughtUp(): void;
-  /** Peers tell of changes at once, so that reading seldom is enough. */
+  /** Whether peers report changes at once, so that the source can poll less. */
   isRelayed(): boolean;
 }
 
-/** The state of the lease on giving orders, as this process knows it. */
+/** State of the lease that permits giving orders, as known to this process. */
 export interface LeaseState {
+  /** This process holds the lease and may give orders. */
   isHolder: boolean;
   /**
-   * The store last gave it to this process. It may have lapsed since, so that no
-   * order may go out; what this process knows of the runners still holds.
+   * The store last assigned the lease to this process. It may have expired since,
+   * so that no orders may be sent; what is known of the runners is still valid.
    */
   owns: boolean;
-  /** The store last said that nobody has it. */
+  /** The store last reported that nobody holds the lease. */
   isVacant: boolean;
-  /** Rises with each change of holder. */
+  /** Increases with each change of holder. */
   fencingToken: number;
-  /** Rises when another process may have ordered since this one last did. */
+  /** Increases if another process may have sent orders since this one last did. */
   term: number;
-  /** Address of the holder's internal listener, where one is known. */
+  /** Address of the holder's internal listener, if known. */
   holderAddress?: string;
 }
 
 export interface JoinResult {
-  /** Rises with each change of the group. */
+  /** Increases with each change of the group's members. */
   generation: number;
   owns: boolean;
 }
 
-/** The group among whose members the store deals the one lease. */
+/** The group of processes, one of which the store assigns the lease. */
 export interface LeaseStore {
   join(generation: number): Promise<Result<JoinResult, BanyanfoldError>>;
   leave(): Promise<Result<void, BanyanfoldError>>;
-  /** Address of the member that has it; undefined while none has. */
+  /** Address of the member that holds the lease; undefined if none does. */
   owner(): Promise<Result<string | undefined, BanyanfoldError>>;
 }
 
 export interface LeaseSource {
   start(): void;
-  /** Checked right before each order: false once the lease may have lapsed. */
+  /** Read right before each order; no holder once the lease may have expired. */
   current(): LeaseState;
-  /** Asks again who holds it, for one that met no answer there. */
+  /** Looks up the holder again, after the known one did not respond. */
   refreshHolder(): void;
-  /** A later holder is there. Returns whether this one had lost the store. */
+  /**
+   * Gives up the lease to a later holder.
+   *
+   * @returns whether this process had lost its connection to the store.
+   */
   yieldTo(generation: number, address?: string): boolean;
-  /** A peer says who holds it. */
+  /** Records the holder that a peer reported. */
   noteHolder(address: string | undefined): void;
-  /** Takes the lease from a holder that leaves. */
+  /**
+   * Takes over the lease from a holder that is leaving.
+   *
+   * @returns whether this process took it.
+   */
   takeOver(handover: LeaseHandover): boolean;
-  /** A runner refused this process's token. */
+  /** Records that a runner refused this process's fencing token. */
   noteFenced(): void;
   /**
-   * Whether this process is in the group that the lease is dealt to. One that
-   * isn't gives the lease away if it has it.
+   * Sets whether this process belongs to the group that may be assigned the lease.
+   * A process outside of it releases the lease if it holds it.
    */
   setStandby(isStandby: boolean): void;
   release(): Promise<void>;
 }
 
-/** What organisations near their limits have left, as it is kept. */
+/** Stored usage of the organisations that are near their limits. */
 export interface UsageRecord {
   /** Unix time. */
   atMs: number;
   organisations: Record<string, FleetUsageTold>;
 }
 
-/** Keeps what has been used while no process may. */
+/** Stores usage, so that it outlasts all processes. */
 export interface UsageStore {
-  /** Undefined where nothing has been kept. */
+  /** Resolves to undefined if nothing is stored. */
   load(): Promise<Result<UsageRecord | undefined, BanyanfoldError>>;
   save(record: UsageRecord): Promise<Result<void, BanyanfoldError>>;
 }
 
-/** A request in quarantine, as it is kept. */
+/** A stored request in quarantine. */
 export interface QuarantineRecord {
   fingerprint: string;
-  /** When it was put in, Unix time. */
+  /** Unix time at which its quarantine started. */
   atMs: number;
 }
 
-/** Keeps what must outlast all processes. */
+/** Stores quarantined requests, so that they outlast all processes. */
 export interface QuarantineStore {
-  /** Called when what was written lately may be gone from the store. */
+  /** Registers a listener for when recent writes may be lost from the store. */
   onReset(listener: () => void): void;
   load(): Promise<Result<QuarantineRecord[], BanyanfoldError>>;
-  /** Writes and drops in one call; done twice it changes nothing. */
+  /** Writes and removes records in one call. Idempotent. */
   update(
     put: readonly QuarantineRecord[],
     dropped: readonly string[],
