--- a/packages/banyanfold-gateway/src/__tests__/admissionChecks.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/admissionChecks.test.ts
@@ -61,9 +61,9 @@
 }
 
 describe('AdmissionChecks', () => {
-  it('tells of a copy that comes after its caller has left', () => {
-    // Held, the caller would be refused when its time is over; it learns at
-    // once that its request has not run and when to come back.
+  it('refuses a request whose copy is ready only after its caller left', () => {
+    // Guards against holding the request until its deadline, only to refuse it
+    // then. The caller learns at once that it has not run and when to retry.
     const checks = checksFor('m1');
     expect(checks.checkCopyWait()).toBeUndefined();
     copyInMs = 4_000;
@@ -72,10 +72,11 @@
     expect(checks.checkCopyWait()?.decision.retryAfterMs).toBe(1_650);
   });
 
-  it('tells those at once whom neither copy nor queue reaches before they leave', () => {
-    // Callers of a stream leave after 2 s without an event, long before their
-    // deadline. Held to the deadline they were lost; told at once, they come
-    // back in up to a third of what they have left, when the copy is there.
+  it('refuses a request that starts only after its idle timeout', () => {
+    // Callers of a stream disconnect after 2 s without an event, long before
+    // their deadline. Requests held until the deadline were lost; if refused at
+    // once, callers retry within a third of their remaining time, when the copy
+    // is ready.
     const checks = checksFor('m1', 2_000);
     copyInMs = 1_500;
     expect(checks.checkCopyWait()).toBeUndefined();
@@ -86,7 +87,7 @@
     expect(checksFor('m1').checkQueue('r1')).toBeUndefined();
   });
 
-  it('tells of a queue that leaves no time, at runners of models only', () => {
+  it('refuses a request for a model if the queue leaves too little time', () => {
     workAhead = 30;
     expect(checksFor('m1').checkQueue('r1')).toBeUndefined();
     workAhead = 400;
@@ -94,7 +95,7 @@
     expect(checksFor(undefined).checkQueue('r1')).toBeUndefined();
   });
 
-  it('tells what would be cut off when this process ends', () => {
+  it('detects a request that could outlast the drain of this process', () => {
     expect(checksFor('m1').outlastsDrain).toBe(false);
     drainDeadlineMs = clock.nowMs() + DEADLINE_MS + 1;
     expect(checksFor('m1').outlastsDrain).toBe(false);
@@ -102,7 +103,7 @@
     expect(checksFor('m1').outlastsDrain).toBe(true);
   });
 
-  it('has what decided it in the log', () => {
+  it('logs the inputs of each refusal', () => {
     copyInMs = 5_800;
     workAhead = 400;
     const checks = checksFor('m1');
--- a/packages/banyanfold-gateway/src/__tests__/eventSplitter.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/eventSplitter.test.ts
@@ -3,7 +3,7 @@
 import {EventSplitter} from '../requests/eventSplitter.js';
 
 describe('EventSplitter', () => {
-  it('gives whole events only, and the id of the last', () => {
+  it('returns only complete events, with the id of the last one', () => {
     const splitter = new EventSplitter();
     expect(splitter.push(Buffer.from('id: 1\nda'))).toBeUndefined();
     const events = splitter.push(Buffer.from('ta: a\n\nid: 2\ndata: b'));
@@ -12,14 +12,14 @@
     expect(splitter.pending.toString()).toBe('id: 2\ndata: b');
   });
 
-  it('knows the blank line with carriage returns too', () => {
+  it('recognizes blank lines with carriage returns', () => {
     const splitter = new EventSplitter();
     const events = splitter.push(Buffer.from('id: 9\r\ndata: a\r\n\r\nid'));
     expect(events?.lastEventId).toBe('9');
     expect(splitter.pending.toString()).toBe('id');
   });
 
-  it('loses no byte, wherever the stream is cut into chunks', () => {
+  it('loses no byte, however the stream is split into chunks', () => {
     const stream = Array.from(
       {length: 6},
       (_, i) => `id: ${i + 1}\ndata: token\n\n`,
--- a/packages/banyanfold-gateway/src/__tests__/retryAfter.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/retryAfter.test.ts
@@ -7,14 +7,14 @@
 
 describe('chooseRetryAfterMs', () => {
   it.each([
-    ['a long deadline: as long as a copy takes', 12_000, 3_000],
-    ['a short one: what its caller heeds', 4_000, 1_280],
-    ['hardly any time left', 200, MIN_RETRY_AFTER_MS],
+    ['a distant deadline: the time that a copy takes', 12_000, 3_000],
+    ['a near deadline: the longest accepted delay', 4_000, 1_280],
+    ['hardly any time left: the shortest delay', 200, MIN_RETRY_AFTER_MS],
   ])('%s', (_what, leftMs, expected) => {
     expect(chooseRetryAfterMs(leftMs, () => 1)).toBeCloseTo(expected);
   });
 
-  it('spreads those that are refused together, within what they heed', () => {
+  it('spreads retries within the accepted delay', () => {
     const shares = fc.double({min: 0, max: 1, noNaN: true});
     fc.assert(
       fc.property(
