--- a/packages/banyanfold-gateway/src/callers/callerIdentity.ts
+++ b/packages/banyanfold-gateway/src/callers/callerIdentity.ts
@@ -6,15 +6,15 @@
   isPublic: boolean;
   keyDigest: string | undefined;
   /**
-   * How long keys are accepted after the configuration was last confirmed, in ms;
-   * undefined if without limit.
+   * How long keys are accepted after the configuration was last confirmed, in
+   * ms; undefined if without limit.
    */
   keysTrustedMs: number | undefined;
   /** Time from its acknowledgement until a configuration applies everywhere. */
   configApplyMs: number;
 }
 
-/** Identifies the caller of a request by the configuration in force at the time. */
+/** Identifies the caller of a request by the current configuration. */
 export class CallerIdentity {
   constructor(private readonly options: CallerIdentityOptions) {}
 
--- a/packages/banyanfold-gateway/src/callers/decideCaller.ts
+++ b/packages/banyanfold-gateway/src/callers/decideCaller.ts
@@ -10,8 +10,8 @@
   /** Undefined if the key is missing or malformed. */
   keyDigest: string | undefined;
   /**
-   * The configuration is too old to rule out that a key was revoked, so no key is
-   * accepted.
+   * The configuration is too old to rule out that a key was revoked, so no key
+   * is accepted.
    */
   isConfigStale: boolean;
   /** No newer configuration that would admit the caller can be in force. */
--- a/packages/banyanfold-gateway/src/callers/usageAccounts.ts
+++ b/packages/banyanfold-gateway/src/callers/usageAccounts.ts
@@ -23,8 +23,8 @@
 
 /**
  * An organisation is near its limit, and its usage is stored, while it has less
- * than this share of the limit left. An organisation that is not stored may have
- * used up the rest, so this share is what it is assumed to have left.
+ * than this share of the limit left. An organisation that is not stored may
+ * have used up the rest, so this share is what it is assumed to have left.
  */
 const NEAR_LIMIT_SHARE = 0.4;
 /** An organisation that the holder doesn't report has used nothing lately. */
@@ -34,7 +34,7 @@
   usage: OrganisationUsage;
   /** Amount admitted here since the last report. */
   unreported: number;
-  /** Amount admitted here and contained in the report in flight or the last one. */
+  /** Amount admitted here and contained in the last report, even in flight. */
   reported: number;
 }
 
@@ -47,7 +47,7 @@
   unlistedShare: number;
 }
 
-/** Accounts for each organisation's usage of its cap, as known to this entry. */
+/** Tracks each organisation's usage of its cap, as known to this entry. */
 export class UsageAccounts {
   /** Also contains the counts of the entries that this one relays for. */
   readonly meter = new UsageMeter();
@@ -85,7 +85,7 @@
     return Object.fromEntries(near);
   }
 
-  /** Applies usage from the store, unless the holder has already sent its own. */
+  /** Applies stored usage, unless the holder has already sent its own. */
   restore(
     usage: Readonly<Record<string, FleetUsageTold>>,
     ageMs: number,
@@ -193,7 +193,8 @@
 }
 
 /**
- * Returns the amount that a request is charged against a cap, in the cap's unit.
+ * Returns the amount that a request is charged against a cap, in the cap's
+ * unit.
  *
  * @example usageOf({promptTokens: 9_190, maxOutputTokens: 52}, cap) // 9242
  */
--- a/packages/banyanfold-gateway/src/callers/usageKeeper.ts
+++ b/packages/banyanfold-gateway/src/callers/usageKeeper.ts
@@ -20,9 +20,9 @@
 
 /**
  * Stores the usage of organisations that are near their limits. Without it, all
- * usage would be lost when all processes end at once, and the new processes would
- * either exceed the caps or refuse callers that are below them. Nothing is written
- * while no organisation is near its limit.
+ * usage would be lost when all processes end at once, and the new processes
+ * would either exceed the caps or refuse callers that are below them. Nothing
+ * is written while no organisation is near its limit.
  */
 export class UsageKeeper {
   private stopSaving: () => void = () => {};
--- a/packages/banyanfold-gateway/src/context.ts
+++ b/packages/banyanfold-gateway/src/context.ts
@@ -45,8 +45,8 @@
   usage: UsageAccounts;
   workForecast: WorkForecast;
   /**
-   * How long keys are accepted after the configuration was last confirmed, in ms;
-   * undefined if without limit.
+   * How long keys are accepted after the configuration was last confirmed, in
+   * ms; undefined if without limit.
    */
   keysTrustedMs: number | undefined;
   /** Time from its acknowledgement until a configuration applies everywhere. */
@@ -63,8 +63,9 @@
   /** True once this process has started to drain. */
   isDraining(): boolean;
   /**
-   * When this process ends the requests that are still open, in ms of the clock;
-   * undefined until it drains and the balancer has stopped sending callers.
+   * When this process ends the requests that are still open, in ms of the
+   * clock; undefined until it drains and the balancer has stopped sending
+   * callers.
    */
   drainDeadlineMs(): number | undefined;
 }
--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -40,7 +40,7 @@
 
 /** Limits that the deployment sets on the system. */
 export interface DeploymentBounds {
-  /** Time that a process has from the signal to stop until it must have ended. */
+  /** Time from the signal to stop until the process must have ended. */
   graceMs: number;
   /** Retries allowed per request. */
   retryRatio: number;
@@ -95,7 +95,7 @@
 const ASSUMED_ENTRY_COUNT = 8;
 const MAINTENANCE_INTERVAL_MS = 500;
 const DRAIN_POLL_MS = 50;
-/** Time reserved to leave the group, or to offer peers the lease without a store. */
+/** Reserved to leave the group, or to offer peers the lease without a store. */
 const RELEASE_MS = 2_000;
 
 /** The gateway process on an entry VM. */
@@ -351,9 +351,10 @@
   }
 
   /**
-   * Drains the process without interrupting requests. The balancer sends callers
-   * here until it notices that the process isn't ready. Until then callers are
-   * served, each response closes its connection, and idle connections stay open.
+   * Drains the process without interrupting requests. The balancer sends
+   * callers here until it notices that the process isn't ready. Until then
+   * callers are served, each response closes its connection, and idle
+   * connections stay open.
    *
    * The holder of the lease keeps giving orders during that time, because its
    * successor may have to wait before its first order and may itself be stopped
--- a/packages/banyanfold-gateway/src/gatewayServer.ts
+++ b/packages/banyanfold-gateway/src/gatewayServer.ts
@@ -19,18 +19,18 @@
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 15_000,
 };
-/** Limit of the parser; the configured limit is lower and may be raised later. */
+/** Parser limit; the configured limit is lower and may be raised later. */
 const MAX_PARSED_HEADER_BYTES = 131_072;
-/** Added to the announced idle timeout, as callers reuse connections until then. */
+/** Added to the announced timeout, until which callers reuse connections. */
 const KEEP_ALIVE_MARGIN_MS = 1_500;
 /** Shorter than the 1 s after which callers abandon a silent connection. */
 const READY_WAIT_MS = 600;
-/** Retry delay for callers that are refused because of the configuration's state. */
+/** Retry delay for callers refused because of the configuration's state. */
 const NOT_READY_RETRY_AFTER_MS = 500;
 /** Lines of a stack trace that are logged: the error and its origin. */
 const MAX_STACK_LINES = 6;
 
-/** HTTP server for callers: validates, authorizes and handles their requests. */
+/** HTTP server for callers: validates, authorizes and handles requests. */
 export class GatewayServer {
   readonly server: Server;
   private readonly activeRequests = new Set<RequestHandler>();
@@ -68,7 +68,7 @@
     this.server.closeIdleConnections();
   }
 
-  /** Refuses requests that are not sent yet, so they can go to another entry. */
+  /** Refuses unsent requests, so that they can go to another entry. */
   refuseUnsent(): void {
     for (const handler of this.activeRequests) handler.refuseUnsent();
   }
@@ -156,8 +156,8 @@
 
   /**
    * Ends one request after an unexpected error, but not the process: its caller
-   * retries, and the request would end the next entry too. A runner may have run
-   * the request, so the response doesn't rule that out.
+   * retries, and the request would end the next entry too. A runner may have
+   * run the request, so the response doesn't rule that out.
    */
   private handleUnexpectedError(
     response: ServerResponse,
@@ -181,9 +181,9 @@
   }
 
   /**
-   * Waits for the first configuration, which a new process reads within some tens
-   * of ms. A caller whose connection was closed retries only once, so a refusal
-   * now would be final although it could be served shortly after.
+   * Waits for the first configuration, which a new process reads within some
+   * tens of ms. A caller whose connection was closed retries only once, so a
+   * refusal now would be final although it could be served shortly after.
    */
   private waitUntilReady(): Promise<void> {
     const {view, clock} = this.context;
@@ -201,11 +201,12 @@
   }
 
   /**
-   * Waits for two turns of the event loop, so that pending data is read from the
-   * sockets and a caller that disconnected is detected before its request is
-   * sent. A request and the close that follows it are read in two turns, and a
-   * kept-alive connection handles the request in the first. Without this wait,
-   * requests of callers that had left half a second before reached runners.
+   * Waits for two turns of the event loop, so that pending data is read from
+   * the sockets and a caller that disconnected is detected before its request
+   * is sent. A request and the close that follows it are read in two turns, and
+   * a kept-alive connection handles the request in the first. Without this
+   * wait, requests of callers that had left half a second before reached
+   * runners.
    */
   private waitForUnreadCloses(): Promise<void> {
     this.pendingLoopTurns ??= new Promise(resolve => {
@@ -228,8 +229,9 @@
   }
 
   /**
-   * Refuses a request without a route. A 404 is final, so it requires a confirmed
-   * configuration: a newer one, not known here yet, may contain the route.
+   * Refuses a request without a route. A 404 is final, so it requires a
+   * confirmed configuration: a newer one, not known here yet, may contain the
+   * route.
    */
   private refuseUnrouted(
     request: IncomingMessage,
--- a/packages/banyanfold-gateway/src/options.ts
+++ b/packages/banyanfold-gateway/src/options.ts
@@ -4,15 +4,15 @@
 
 /** Settings of the gateway, with the reasons for their defaults. */
 export const gatewayOptionsSchema = z.strictObject({
-  /** A new connection to a runner takes about 1 ms, more if packets are lost. */
+  /** A new connection takes about 1 ms, more if packets are lost. */
   connectTimeoutMs: durationMs.default(400),
   /**
-   * Idle time before a connection is reused. A faulty runner that sends a second
-   * response does so within a few ms; the connection is then closed, instead of
-   * that response being taken for the next request's.
+   * Idle time before a connection is reused. A faulty runner that sends a
+   * second response does so within a few ms; the connection is then closed,
+   * instead of that response being taken for the next request's.
    */
   reuseRestMs: durationMs.default(8),
-  /** Idle connections are closed after this; runners keep theirs for 5 s or more. */
+  /** Idle connections are closed after this; runners keep them at least 5 s. */
   runnerIdleMs: durationMs.default(4_000),
   /** A response is sent at least this long before the caller's deadline. */
   deadlineMarginMs: durationMs.default(15),
@@ -23,36 +23,40 @@
   unreachablePauseCapMs: durationMs.default(4_000),
   /** Interval at which an entry reports its demand to the holder. */
   exchangeIntervalMs: durationMs.default(250),
-  /** The same while callers wait for copies and entries are few. */
+  /**
+   * The shortest exchange interval, used while callers wait for copies and
+   * entries are few.
+   */
   urgentIntervalMs: durationMs.default(60),
-  /** Interval at which the holder requests a report from each runner, at best. */
+  /** Interval of the holder's reports from each runner, if its load allows. */
   reportIntervalMs: durationMs.default(500),
   /**
-   * Reports that the holder requests per second and CPU core, in proportion to its
-   * CPU share. A report is estimated to take 1 ms, so that a tenth of the CPU is
-   * used for them.
+   * Reports that the holder requests per second and CPU core, in proportion to
+   * its CPU share. A report is estimated to take 1 ms, so that a tenth of the
+   * CPU is used for them.
    */
   reportsPerCoreSecond: z.number().positive().default(100),
   /**
-   * The same limit for runners without a report so far, after an initial batch. A
-   * new holder with thousands of runners must still be able to renew its lease.
+   * The same limit for runners without a report so far, after an initial batch.
+   * A new holder with thousands of runners must still be able to renew its
+   * lease.
    */
   firstReportsPerCoreSecond: z.number().positive().default(300),
-  /** Interval of reports once an order should be done; loads take at least 0.5 s. */
+  /** Interval of reports once an order is due; loads take 0.5 s or more. */
   busyReportIntervalMs: durationMs.default(120),
   /** Interval at which the holder plans the copies of models. */
   planIntervalMs: durationMs.default(150),
-  /** Wait after an adapter is ordered; fetching one of 66 MB takes up to 14 ms. */
+  /** Wait after an adapter is ordered; 66 MB take up to 14 ms to fetch. */
   adapterSettleMs: durationMs.default(16),
   /**
-   * Timeout of calls to other entries. A small VM stalled for 0.28 s at times, when
-   * its CPU share was used up and garbage was collected. Both ends may stall, and a
-   * call that times out costs as much CPU as one that succeeds.
+   * Timeout of calls to other entries. A small VM stalled for 0.28 s at times,
+   * when its CPU share was used up and garbage was collected. Both ends may
+   * stall, and a call that times out costs as much CPU as one that succeeds.
    */
   peerTimeoutMs: durationMs.default(1_000),
   /**
-   * Longest wait for an adapter in each attempt, so that a frozen holder leaves the
-   * request enough time for another runner.
+   * Longest wait for an adapter in each attempt, so that a frozen holder leaves
+   * the request enough time for another runner.
    */
   adapterTimeoutMs: durationMs.default(400),
   /** Time for the balancer to notice a drain: two checks, one second apart. */
--- a/packages/banyanfold-gateway/src/requests/admissionChecks.ts
+++ b/packages/banyanfold-gateway/src/requests/admissionChecks.ts
@@ -36,10 +36,11 @@
   constructor(private readonly options: AdmissionChecksOptions) {}
 
   /**
-   * Whether the request could outlast this process, which is draining. A balancer
-   * with few entries left sends callers here until the end. A stream that started
-   * now could be cut off, so its caller should try another entry at once.
-   * Requests whose deadline is before the end of the process are still served.
+   * Whether the request could outlast this process, which is draining. A
+   * balancer with few entries left sends callers here until the end. A stream
+   * that started now could be cut off, so its caller should try another entry
+   * at once. Requests whose deadline is before the end of the process are still
+   * served.
    */
   get outlastsDrain(): boolean {
     const drainDeadlineMs = this.options.context.drainDeadlineMs();
@@ -48,7 +49,7 @@
     );
   }
 
-  /** Refuses a request that would queue at a runner until its caller disconnects. */
+  /** Refuses a request that would queue until its caller disconnects. */
   checkQueue(runnerId: string): QueueRefusal | undefined {
     const {context, request, route, startedMs} = this.options;
     if (request.model === undefined) return undefined;
--- a/packages/banyanfold-gateway/src/requests/decideRequestRetry.ts
+++ b/packages/banyanfold-gateway/src/requests/decideRequestRetry.ts
@@ -25,9 +25,10 @@
 }
 
 /**
- * Decides whether a request is retried, by the retry policy of its route and the
- * retry budget that all requests of its service share. An attempt that reached no
- * runner caused no load, so retrying it takes nothing from the budget.
+ * Decides whether a request is retried, by the retry policy of its route and
+ * the retry budget that all requests of its service share. An attempt that
+ * reached no runner caused no load, so retrying it takes nothing from the
+ * budget.
  */
 export function decideRequestRetry(
   {clock, options, random}: GatewayContext,
--- a/packages/banyanfold-gateway/src/requests/eventSplitter.ts
+++ b/packages/banyanfold-gateway/src/requests/eventSplitter.ts
@@ -10,9 +10,9 @@
 }
 
 /**
- * Splits an event stream into complete events. A runner may fail in the middle of
- * an event; if the fragment were forwarded, the caller would see it joined with
- * the first event of the runner that resumes the stream.
+ * Splits an event stream into complete events. A runner may fail in the middle
+ * of an event; if the fragment were forwarded, the caller would see it joined
+ * with the first event of the runner that resumes the stream.
  */
 export class EventSplitter {
   private remainder: Buffer = Buffer.alloc(0);
@@ -25,7 +25,8 @@
   /**
    * Adds a chunk and returns the events that it completes, if any.
    *
-   * @example splitter.push(Buffer.from('id: 1\ndata: a\n\n'))?.lastEventId // '1'
+   * @example
+   * splitter.push(Buffer.from('id: 1\ndata: a\n\n'))?.lastEventId // '1'
    */
   push(chunk: Buffer): CompleteEvents | undefined {
     const bytes =
--- a/packages/banyanfold-gateway/src/requests/requestFingerprint.ts
+++ b/packages/banyanfold-gateway/src/requests/requestFingerprint.ts
@@ -15,8 +15,8 @@
 /**
  * Identifies a request across retries of its caller, which use a new request id
  * each time. The caller's address is not included: runners never receive it, so
- * it can't cause a crash, and a caller may use several. If it were included, each
- * retry from another address would count as a new request.
+ * it can't cause a crash, and a caller may use several. If it were included,
+ * each retry from another address would count as a new request.
  *
  * @example
  * fingerprintOf({method: 'GET', host: 'a', target: '/x',
--- a/packages/banyanfold-gateway/src/requests/requestHandler.ts
+++ b/packages/banyanfold-gateway/src/requests/requestHandler.ts
@@ -23,7 +23,7 @@
 
 /** The runner doesn't hold the model or the adapter of the request. */
 const MISDIRECTED_REQUEST = 421;
-/** First pause before a runner that is full or fetches an adapter is retried. */
+/** First pause before a full runner, or one fetching an adapter, is retried. */
 const REJECTION_BACKOFF_MS = 25;
 /**
  * The pause doubles with each rejection up to this limit, so that a full queue
@@ -32,7 +32,7 @@
  * was refused because a single runner was full for a moment.
  */
 const MAX_REJECTION_BACKOFF_MS = 200;
-/** Interval at which a waiting request looks for a runner if nothing changes. */
+/** Interval at which a waiting request polls for a runner between changes. */
 const RUNNER_POLL_MS = 100;
 /** Interval at which a suspect requests a trial; a trial takes longer. */
 const TRIAL_POLL_MS = 150;
@@ -66,9 +66,9 @@
   private readonly deadlineMs: number;
   /**
    * The caller disconnects at this time if no event has arrived. A request that
-   * no runner can take is refused by then, so that the caller retries. When such
-   * requests were held until their deadline instead, 1,279 of 7,995 requests of
-   * an overloaded day were lost.
+   * no runner can take is refused by then, so that the caller retries. When
+   * such requests were held until their deadline instead, 1,279 of 7,995
+   * requests of an overloaded day were lost.
    */
   private readonly responseStartDeadlineMs: number;
   private readonly service: string;
@@ -165,7 +165,7 @@
     return this.relay.isSent || this.relay.hasStarted || this.mayHaveRun;
   }
 
-  /** The key may have moved to another organisation since the request arrived. */
+  /** The key may have moved to another organisation since the arrival. */
   private get currentOrganisation(): Organisation | undefined {
     const caller = this.options.identity.decide();
     return caller.kind === 'admitted' ? caller.organisation : undefined;
@@ -309,7 +309,7 @@
     return true;
   }
 
-  /** Ends a request that is in quarantine because it crashed several runners. */
+  /** Ends a request that is in quarantine for crashing several runners. */
   private endQuarantined(): void {
     const {quarantinedForMs} = this.suspect;
     this.log.refuseQuarantined(this.fingerprint, quarantinedForMs);
@@ -387,7 +387,7 @@
     return false;
   }
 
-  /** Returns undefined if the request was not sent because its turn came late. */
+  /** Returns undefined if it was not sent because its turn came late. */
   private async attempt(target: Target): Promise<AttemptResult | undefined> {
     const {context, route, decoded} = this.options;
     const {runner} = target;
@@ -579,7 +579,7 @@
       REJECTION_BACKOFF_MS * 2 ** (this.rejections - 1),
       MAX_REJECTION_BACKOFF_MS,
     );
-    // Equal jitter: requests that were rejected together retry at different times.
+    // Equal jitter spreads the retries of requests that were rejected together.
     return (maxMs * (1 + this.options.context.random())) / 2;
   }
 
@@ -616,7 +616,7 @@
     );
   }
 
-  /** Refuses the request if it is unsent, so that it can go to another entry. */
+  /** Refuses the request if unsent, so that it can go to another entry. */
   refuseUnsent(): void {
     this.refuseIfNotStarted('leaving');
   }
--- a/packages/banyanfold-gateway/src/requests/requestLog.ts
+++ b/packages/banyanfold-gateway/src/requests/requestLog.ts
@@ -29,7 +29,7 @@
   longestPauseMs?: number;
 }
 
-/** Logs each decision on one request, together with the inputs of the decision. */
+/** Logs each decision on one request and the inputs of the decision. */
 export class RequestLog {
   constructor(private readonly options: RequestLogOptions) {}
 
@@ -71,7 +71,7 @@
     });
   }
 
-  /** Age of the copies' state in ms; undefined before the holder's first update. */
+  /** Age of the known copies in ms; undefined before the first update. */
   private copiesAgeMs(): number | undefined {
     const {context, decoded} = this.options;
     if (decoded.request.model === undefined) return undefined;
--- a/packages/banyanfold-gateway/src/requests/responseRelay.ts
+++ b/packages/banyanfold-gateway/src/requests/responseRelay.ts
@@ -95,7 +95,7 @@
     return this.hasStarted || (this.inFlight?.attempt.mayHaveRun ?? false);
   }
 
-  /** Sends one attempt; resolves when its response ends, fails or is cancelled. */
+  /** Sends one attempt; resolves when its response ends or fails. */
   relay(
     connection: RunnerConnection,
     attemptRequest: AttemptRequest,
@@ -217,7 +217,7 @@
     };
   }
 
-  /** Why a response can't be forwarded, judging by its head; undefined if it can. */
+  /** Why a response can't be forwarded, by its head; undefined if it can. */
   private integrityErrorOf({
     requestId,
     encoded,
--- a/packages/banyanfold-gateway/src/requests/retryAfter.ts
+++ b/packages/banyanfold-gateway/src/requests/retryAfter.ts
@@ -6,10 +6,10 @@
 const COPY_CHANGE_MS = 3_000;
 
 /**
- * Chooses the retry delay in ms for a caller whose request no runner could take.
- * A full runner or a model without a copy takes seconds to change, and callers
- * retry only once, so a shorter delay would end in a final refusal. Equal jitter
- * spreads the retries of callers that are refused together.
+ * Chooses the retry delay in ms for a caller whose request no runner could
+ * take. A full runner or a model without a copy takes seconds to change, and
+ * callers retry only once, so a shorter delay would end in a final refusal.
+ * Equal jitter spreads the retries of callers that are refused together.
  *
  * @param leftMs time until the caller's deadline.
  * @param random uniform in [0, 1).
--- a/packages/banyanfold-gateway/src/requests/retryBudgets.ts
+++ b/packages/banyanfold-gateway/src/requests/retryBudgets.ts
@@ -15,7 +15,7 @@
   entryCount(): number;
 }
 
-/** Share of the slack that refills over a window; the rest is available at once. */
+/** Share of the slack that refills over a window; the rest is the burst. */
 const REFILLED_SLACK_SHARE = 0.3;
 const MIN_CAPACITY = 2;
 const MS_PER_SECOND = 1000;
--- a/packages/banyanfold-gateway/src/requests/suspectStatus.ts
+++ b/packages/banyanfold-gateway/src/requests/suspectStatus.ts
@@ -3,8 +3,9 @@
 import type {AttemptResult} from './responseRelay.js';
 
 /**
- * After a runner closes the connection, a crash is detected within this time by one
- * probe of its address. Only then does the trial count as one without a result.
+ * After a runner closes the connection, a crash is detected within this time by
+ * one probe of its address. Only then does the trial count as one without a
+ * result.
  */
 const CRASH_DETECTION_MS = 500;
 
--- a/packages/banyanfold-gateway/src/requests/targetChooser.ts
+++ b/packages/banyanfold-gateway/src/requests/targetChooser.ts
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Time until the first rate-limited runner admits the request, in ms; undefined
-   * if no runner that could take the request is rate limited.
+   * Time until the first rate-limited runner admits the request, in ms;
+   * undefined if no runner that could take the request is rate limited.
    */
   rateLimitedForMs(): number | undefined {
     const nowMs = this.options.context.clock.nowMs();
@@ -115,7 +115,7 @@
     return this.rejectedBy.has(runnerId);
   }
 
-  /** Checks the runner again, as it may have left while an adapter was fetched. */
+  /** Checks again, as the runner may have left during an adapter's fetch. */
   isStillUsable({runnerId}: RunnerRegistration): boolean {
     const runner = this.options.context.view.runner(runnerId);
     return runner !== undefined && !runner.leaving;
--- a/packages/banyanfold-gateway/src/requests/workForecast.ts
+++ b/packages/banyanfold-gateway/src/requests/workForecast.ts
@@ -8,9 +8,9 @@
 }
 
 /**
- * Estimates the work that all entries send for a model before they learn of each
- * other's requests. Measures the arrival rate at this entry and assumes that every
- * entry has the same rate.
+ * Estimates the work that all entries send for a model before they learn of
+ * each other's requests. Measures the arrival rate at this entry and assumes
+ * that every entry has the same rate.
  */
 export class WorkForecast {
   private readonly rates = new Map<string, Rate>();
--- a/packages/banyanfold-gateway/src/requests/workOf.ts
+++ b/packages/banyanfold-gateway/src/requests/workOf.ts
@@ -6,8 +6,9 @@
 }
 
 /**
- * Load on a runner, in thousands of prompt tokens. The prefill of a prompt delays
- * every stream in the batch; one more sequence hardly slows a decode step.
+ * Load on a runner, in thousands of prompt tokens. The prefill of a prompt
+ * delays every stream in the batch; one more sequence hardly slows a decode
+ * step.
  */
 export interface Work {
   /** Work until the first token. */
@@ -18,10 +19,10 @@
 
 const TOKENS_PER_WORK = 1_000;
 /**
- * Prompt tokens whose prefill takes as long as the decoding of one output token.
- * In a full batch the ratio is about 3: a step takes 5.5 ms for 64 requests, and
- * the prefill rate is 38 tokens/ms. In a batch with free slots it is below 1, as
- * another request does not lengthen the step.
+ * Prompt tokens whose prefill takes as long as the decoding of one output
+ * token. In a full batch the ratio is about 3: a step takes 5.5 ms for 64
+ * requests, and the prefill rate is 38 tokens/ms. In a batch with free slots it
+ * is below 1, as another request does not lengthen the step.
  */
 const PREFILL_TOKENS_PER_OUTPUT_TOKEN = 1;
 /** Work of a call without tokens; a plain service counts calls. */
--- a/packages/banyanfold-gateway/src/types.ts
+++ b/packages/banyanfold-gateway/src/types.ts
@@ -4,8 +4,9 @@
 import type {LeaseHandover} from './peers/peerContract.js';
 
 /**
- * The gateway's domain types, and the interfaces that connect it to a deployment.
- * An adapter implements the interfaces; nothing here depends on a wire format.
+ * The gateway's domain types, and the interfaces that connect it to a
+ * deployment. An adapter implements the interfaces; nothing here depends on a
+ * wire format.
  */
 
 /** Host and port of a listener. */
@@ -42,11 +43,11 @@
   resumable: boolean;
   /** Callers need no key. */
   isPublic: boolean;
-  /** Longest pause between two events; undefined if the route doesn't stream. */
+  /** Longest pause between events; undefined if the route doesn't stream. */
   pauseTargetMs?: number;
   /**
-   * Callers disconnect from a stream after this time without an event, also before
-   * the first one; undefined if they wait for the complete response.
+   * Callers disconnect from a stream after this time without an event, also
+   * before the first one; undefined if they wait for the complete response.
    */
   callerIdleTimeoutMs?: number;
 }
@@ -91,7 +92,7 @@
   unit: 'requests' | 'tokens';
   ratePerSecond: number;
   burst: number;
-  /** Amount charged for a request without token counts, if the unit is tokens. */
+  /** Charged for a request without token counts, if the unit is tokens. */
   plainTokens: number;
 }
 
@@ -123,11 +124,11 @@
 
 /** What a runner states about itself in its registration. */
 export interface RunnerRegistration {
-  /** Identifies the runner; it keeps the id when it restarts after a crash. */
+  /** Identifies the runner; after a crash it may restart under the same id. */
   runnerId: string;
   /**
-   * Unix time at which this incarnation started. A runner loses its state when it
-   * restarts.
+   * Unix time at which this incarnation started. A runner loses its state when
+   * it restarts.
    */
   bornMs: number;
   service: string;
@@ -199,7 +200,7 @@
 
 export interface DecodedRequest {
   request: InferenceRequest;
-  /** Headers forwarded to the runner unchanged, as alternating names and values. */
+  /** Headers forwarded unchanged, as alternating names and values. */
   passedHeaders: string[];
   /** Digest of the caller's key; undefined if it is missing or malformed. */
   keyDigest?: string;
@@ -278,8 +279,8 @@
   /** Reads the configuration again, because a peer has a newer one. */
   refreshConfig(): void;
   /**
-   * Position after the last record read that added or removed a runner or changed
-   * whether it is leaving; comparable between readers.
+   * Position after the last record read that added or removed a runner or
+   * changed whether it is leaving; comparable between readers.
    */
   readonly runnersChange: number;
   /** Reads the runners again, unless it has read up to that position. */
@@ -304,15 +305,16 @@
   /** This process holds the lease and may give orders. */
   isHolder: boolean;
   /**
-   * The store last assigned the lease to this process. It may have expired since,
-   * so that no orders may be sent; what is known of the runners is still valid.
+   * The store last assigned the lease to this process. It may have expired
+   * since, so that no orders may be sent; what is known of the runners is still
+   * valid.
    */
   owns: boolean;
   /** The store last reported that nobody holds the lease. */
   isVacant: boolean;
   /** Increases with each change of holder. */
   fencingToken: number;
-  /** Increases if another process may have sent orders since this one last did. */
+  /** Increases if another process may have sent orders since this one did. */
   term: number;
   /** Address of the holder's internal listener, if known. */
   holderAddress?: string;
@@ -334,7 +336,10 @@
 
 export interface LeaseSource {
   start(): void;
-  /** Read right before each order; no holder once the lease may have expired. */
+  /**
+   * Read right before each order; `isHolder` is false once the lease may have
+   * expired.
+   */
   current(): LeaseState;
   /** Looks up the holder again, after the known one did not respond. */
   refreshHolder(): void;
@@ -355,8 +360,8 @@
   /** Records that a runner refused this process's fencing token. */
   noteFenced(): void;
   /**
-   * Sets whether this process belongs to the group that may be assigned the lease.
-   * A process outside of it releases the lease if it holds it.
+   * Sets whether this process belongs to the group that may be assigned the
+   * lease. A process outside of it releases the lease if it holds it.
    */
   setStandby(isStandby: boolean): void;
   release(): Promise<void>;
