--- a/packages/banyanfold-gateway/src/callers/organisationDirectory.ts
+++ b/packages/banyanfold-gateway/src/callers/organisationDirectory.ts
@@ -1,6 +1,6 @@
 import type {Organisation} from '../types.js';
 
-/** Finds the organisation that holds a key. */
+/** Looks up organisations by name or by the digest of a key. */
 export class OrganisationDirectory {
   private readonly byDigest = new Map<string, Organisation>();
   private readonly byName = new Map<string, Organisation>();
@@ -15,11 +15,11 @@
   }
 
   /** @example directory.holderOf(keyDigestOf(key))?.name // 'claims-desk' */
-  holderOf(keyDigest: string): Organisation | undefined {
+  findByKeyDigest(keyDigest: string): Organisation | undefined {
     return this.byDigest.get(keyDigest);
   }
 
-  named(name: string): Organisation | undefined {
+  findByName(name: string): Organisation | undefined {
     return this.byName.get(name);
   }
 }
--- a/packages/banyanfold-gateway/src/context.ts
+++ b/packages/banyanfold-gateway/src/context.ts
@@ -4,7 +4,7 @@
 import type {TrialInput} from './crashes/crashContract.js';
 import type {CrashSuspects} from './crashes/crashSuspects.js';
 import type {CrashDetector} from './crashes/crashDetector.js';
-import type {ComingWork} from './requests/comingWork.js';
+import type {WorkForecast} from './requests/workForecast.js';
 import type {DemandMeter} from './placement/demandMeter.js';
 import type {GatewayOptions} from './options.js';
 import type {HeldCopies} from './runners/heldCopies.js';
@@ -15,17 +15,17 @@
 import type {RequestCodec} from './types.js';
 import type {FleetView} from './view/fleetView.js';
 
-/** Makes sure that an adapter is at a runner; false when it can't be. */
+/** Ensures that a runner holds an adapter; resolves to false if it can't. */
 export type EnsureAdapter = (wanted: {
   runnerId: string;
   model: string;
   adapter: string;
 }) => Promise<boolean>;
 
-/** At which runner a suspect may run now; undefined while it has to wait. */
+/** Returns the runner on which a suspect may run now; undefined if none yet. */
 export type PermitTrial = (wanted: TrialInput) => Promise<string | undefined>;
 
-/** What handling a request needs. */
+/** The dependencies of request handling. */
 export interface GatewayContext {
   clock: Clock;
   logger: Logger;
@@ -35,35 +35,37 @@
   view: FleetView;
   codec: RequestCodec;
   connections: RunnerConnections;
-  states: RunnerStates;
-  gate: PromptGate;
+  runnerStates: RunnerStates;
+  promptGate: PromptGate;
   rateLimits: RunnerRateLimits;
   crashWatch: CrashDetector;
   suspects: CrashSuspects;
-  held: HeldCopies;
+  heldCopies: HeldCopies;
   demand: DemandMeter;
   usage: UsageAccounts;
-  coming: ComingWork;
+  workForecast: WorkForecast;
   /**
-   * Keys are accepted so long after the configuration was last confirmed, in ms;
-   * undefined for however long.
+   * How long keys are accepted after the configuration was last confirmed, in
+   * ms; undefined if without limit.
    */
   keysTrustedMs: number | undefined;
-  /** So long after its acknowledgement a configuration is in force everywhere. */
+  /** Time from its acknowledgement until a configuration applies everywhere. */
   configApplyMs: number;
-  /** Reads the configuration anew. */
+  /** Reads the configuration again. */
   refreshConfig(): void;
-  /** Entries that are at work, this one included. */
-  entries(): number;
+  /** Number of active entries, including this one. */
+  entryCount(): number;
   retryBudgetOf(service: string): RetryBudget;
   ensureAdapter: EnsureAdapter;
   permitTrial: PermitTrial;
+  /** Uniform in [0, 1). */
   random(): number;
-  /** True once this process is leaving. */
-  isLeaving(): boolean;
+  /** True once this process has started to drain. */
+  isDraining(): boolean;
   /**
-   * When this process cuts off what it still carries, in ms of the clock;
-   * undefined until it leaves and the balancer has noticed.
+   * When this process ends the requests that are still open, in ms of the
+   * clock; undefined until it drains and the balancer has stopped sending
+   * callers.
    */
-  cutOffMs(): number | undefined;
+  drainDeadlineMs(): number | undefined;
 }
--- a/packages/banyanfold-gateway/src/requests/decideNextTry.ts
+++ b/packages/banyanfold-gateway/src/requests/decideRequestRetry.ts
@@ -1,45 +1,46 @@
 import {decideRetry, type RetryDecision} from '@banyanfold/decisions';
 import type {GatewayContext} from '../context.js';
 import type {RoutePolicy} from '../types.js';
-import type {AttemptResult} from './answerRelay.js';
+import type {AttemptResult} from './responseRelay.js';
 
-/** Tries of one request that runners turned away without running it. */
+/** Attempts of one request that runners may reject without running it. */
 const MAX_REJECTIONS = 6;
 
-/** Where a request stands after a try that brought no answer. */
-export interface TryState {
+/** State of a request after an attempt that brought no final response. */
+export interface RetryState {
   result: AttemptResult;
   attemptsMade: number;
   rejections: number;
   mayHaveRun: boolean;
-  /** A part of an answer went to the caller. */
-  hasBegun: boolean;
+  /** A part of a response was forwarded to the caller. */
+  hasStarted: boolean;
   deadlineMs: number;
   budgetTokens: number;
 }
 
-export interface NextTry {
-  goesOn: boolean;
-  /** What was decided and why, for the log. */
+export interface RequestRetryDecision {
+  shouldRetry: boolean;
+  /** The decision and its reason, for the log. */
   decision: {kind: string; reason: string};
 }
 
 /**
- * Whether a request is tried once more, by what may be repeated on its route and
- * by the budget that all requests of its service share. A runner that was never
- * reached got nothing, so that trying elsewhere takes nothing from the budget.
+ * Decides whether a request is retried, by the retry policy of its route and
+ * the retry budget that all requests of its service share. An attempt that
+ * reached no runner caused no load, so retrying it takes nothing from the
+ * budget.
  */
-export function decideNextTry(
+export function decideRequestRetry(
   {clock, options, random}: GatewayContext,
   route: RoutePolicy,
-  state: TryState,
-): NextTry {
+  state: RetryState,
+): RequestRetryDecision {
   const nowMs = clock.nowMs();
   const decision: RetryDecision = decideRetry(
     {
       attemptsMade: state.attemptsMade,
       budgetTokens: state.result.kind === 'unreached' ? 1 : state.budgetTokens,
-      firstByteSent: state.hasBegun && !route.resumable,
+      firstByteSent: state.hasStarted && !route.resumable,
       allNeverStarted: !state.mayHaveRun,
       repeatable: route.kind === 'idempotent' || route.resumable,
       remainingBudgetMs: state.deadlineMs - nowMs,
@@ -55,7 +56,7 @@
   );
   if (state.rejections > MAX_REJECTIONS) {
     const reason = 'turned-away-too-often';
-    return {goesOn: false, decision: {kind: 'stop', reason}};
+    return {shouldRetry: false, decision: {kind: 'stop', reason}};
   }
-  return {goesOn: decision.kind !== 'stop', decision};
+  return {shouldRetry: decision.kind !== 'stop', decision};
 }
--- a/packages/banyanfold-gateway/src/requests/requestLog.ts
+++ b/packages/banyanfold-gateway/src/requests/requestLog.ts
@@ -1,43 +1,43 @@
 import type {UsageDecision} from '@banyanfold/decisions';
 import type {GatewayContext} from '../context.js';
 import type {DecodedRequest, RoutePolicy} from '../types.js';
-import type {AttemptResult} from './answerRelay.js';
-import type {CopyRefusal, QueueRefusal} from './ownRefusals.js';
+import type {AttemptResult} from './responseRelay.js';
+import type {CopyRefusal, QueueRefusal} from './admissionChecks.js';
 import type {CandidateCounts, Target} from './targetChooser.js';
 
 export interface RequestLogOptions {
   context: GatewayContext;
   decoded: DecodedRequest;
-  /** The same when the caller sends the request again. */
+  /** Stays the same when the caller retries the request. */
   fingerprint: string;
   route: RoutePolicy;
   startedMs: number;
   deadlineMs: number;
 }
 
-/** How often a request was tried, and what is known of it. */
-export interface TryCounts {
+/** Attempts of a request so far, and whether one of them may have run. */
+export interface AttemptCounts {
   attemptsMade: number;
   rejections: number;
   mayHaveRun: boolean;
 }
 
-/** How an answer came; undefined for what did not. */
-export interface AnswerPace {
+/** Timing of a response; a field is undefined if its event did not occur. */
+export interface ResponseTiming {
   firstByteMs?: number;
-  /** Between two events of a stream. */
+  /** The longest time between two events of a stream. */
   longestPauseMs?: number;
 }
 
-/** The log lines of one request: a line a decision, with what decided it. */
+/** Logs each decision on one request and the inputs of the decision. */
 export class RequestLog {
   constructor(private readonly options: RequestLogOptions) {}
 
-  route(target: Target, counts: TryCounts, isReused: boolean): void {
+  route(target: Target, counts: AttemptCounts, isReused: boolean): void {
     const {context, route, startedMs} = this.options;
     const {runner, reason} = target;
     const {model, adapter} = this.options.decoded.request;
-    this.line('route', {
+    this.logEvent('route', {
       route: route.name,
       fingerprint: this.options.fingerprint,
       model,
@@ -46,7 +46,7 @@
       attempt: counts.attemptsMade + 1,
       rejections: counts.rejections,
       reason,
-      openWork: context.states.openWork(runner.runnerId).toFixed(1),
+      openWork: context.runnerStates.openWork(runner.runnerId).toFixed(1),
       copiesAgeMs: this.copiesAgeMs(),
       heartbeat: runner.heartbeatNumber,
       config: context.view.current?.version,
@@ -56,11 +56,11 @@
     });
   }
 
-  /** Why no runner could be chosen. */
+  /** Logs why no runner could be chosen. */
   wait(counts: CandidateCounts): void {
     const {context, decoded, route} = this.options;
     const {model, adapter} = decoded.request;
-    this.line('wait', {
+    this.logEvent('wait', {
       route: route.name,
       model,
       adapter,
@@ -71,18 +71,18 @@
     });
   }
 
-  /** Age of what was decided on; undefined before the holder has told anything. */
+  /** Age of the known copies in ms; undefined before the first update. */
   private copiesAgeMs(): number | undefined {
     const {context, decoded} = this.options;
     if (decoded.request.model === undefined) return undefined;
-    const {ageMs} = context.held;
+    const {ageMs} = context.heldCopies;
     if (!Number.isFinite(ageMs)) return undefined;
     context.metrics.observeMs('copies_age_ms', ageMs);
     return Math.round(ageMs);
   }
 
   refuseByQueue(runnerId: string, {view, decision}: QueueRefusal): void {
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'queue',
       runner: runnerId,
       workAhead: view.workAhead.toFixed(1),
@@ -95,11 +95,11 @@
 
   refuseWithoutCopy({view, decision}: CopyRefusal): void {
     const {context, decoded} = this.options;
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'no-copy-in-time',
       model: decoded.request.model,
       copyInMs: Math.round(view.copyInMs ?? 0),
-      copiesAgeMs: Math.round(context.held.ageMs),
+      copiesAgeMs: Math.round(context.heldCopies.ageMs),
       leftMs: Math.round(view.leftMs),
       retryAfterMs: Math.round(decision.retryAfterMs),
     });
@@ -111,19 +111,19 @@
     {left, retryAfterMs}: Extract<UsageDecision, {kind: 'refuse'}>,
   ): void {
     const {context} = this.options;
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'usage-cap',
       organisation,
       asked,
       left: Math.round(left),
-      toldAgeMs: context.usage.toldAgeMs,
+      usageAgeMs: context.usage.fleetUsageAgeMs,
       config: context.view.current?.version,
       retryAfterMs: Math.round(retryAfterMs),
     });
   }
 
   refuseByRateLimit(service: string, retryAfterMs: number): void {
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'runner-limit',
       service,
       model: this.options.decoded.request.model,
@@ -133,7 +133,7 @@
   }
 
   refuseQuarantined(fingerprint: string, forMs: number): void {
-    this.line('refuse', {
+    this.logEvent('refuse', {
       reason: 'quarantined',
       fingerprint,
       retryAfterMs: Math.round(forMs),
@@ -146,7 +146,7 @@
     decision: {kind: string; reason: string},
     mayHaveRun: boolean,
   ): void {
-    this.line('retry', {
+    this.logEvent('retry', {
       runner: runnerId,
       after: result.kind,
       status: 'status' in result ? result.status : undefined,
@@ -160,19 +160,19 @@
   end(
     outcome: string,
     status: number,
-    counts: TryCounts,
-    pace: AnswerPace,
+    counts: AttemptCounts,
+    timing: ResponseTiming,
   ): void {
     const {context, route, startedMs} = this.options;
-    this.line('request-end', {
+    this.logEvent('request-end', {
       route: route.name,
       outcome,
       status,
       attempts: counts.attemptsMade,
       rejections: counts.rejections,
       mayHaveRun: counts.mayHaveRun,
-      firstByteMs: pace.firstByteMs,
-      longestPauseMs: pace.longestPauseMs,
+      firstByteMs: timing.firstByteMs,
+      longestPauseMs: timing.longestPauseMs,
       totalMs: Math.round(context.clock.nowMs() - startedMs),
     });
   }
@@ -182,7 +182,7 @@
     return Math.round(deadlineMs - context.clock.nowMs());
   }
 
-  private line(
+  private logEvent(
     event: string,
     fields: Record<string, string | number | boolean | undefined>,
   ): void {
--- /dev/null
+++ b/packages/banyanfold-gateway/src/requests/responseRelay.ts
@@ -0,0 +1,336 @@
+import type {ServerResponse} from 'node:http';
+import type {GatewayContext} from '../context.js';
+import type {RunnerConnection} from '../runners/runnerConnections.js';
+import type {
+  ResponseInfo,
+  ResponseHeaders,
+  DecodedRequest,
+  RoutePolicy,
+} from '../types.js';
+import {
+  Attempt,
+  type ResponseHead,
+  type AttemptRequest,
+  type AttemptObserver,
+} from './attempt.js';
+import {EventSplitter} from './eventSplitter.js';
+import {framingOf, type Framing} from './responseFraming.js';
+
+const BODILESS_STATUSES = new Set([204, 304]);
+
+/** How one attempt to send a request to a runner ended. */
+export type AttemptResult =
+  | {
+      kind: 'delivered';
+      status: number;
+      isSuccess: boolean;
+      firstByteMs: number;
+      canReuse: boolean;
+    }
+  /** A complete error response of the runner, not yet sent to the caller. */
+  | {kind: 'failed'; status: number; headers: ResponseHeaders; body: Buffer}
+  /** The runner confirmed that it did not run the request. */
+  | {
+      kind: 'rejected';
+      status: number;
+      canReuse: boolean;
+      fromOtherRunner: boolean;
+    }
+  /** No connection to the runner was established. */
+  | {kind: 'unreached'; error: string}
+  /** The request may have run, and no complete response arrived. */
+  | {
+      kind: 'broken';
+      error: string;
+      /** The runner closed the connection; it may have crashed. */
+      isClosedByRunner: boolean;
+    };
+
+/** The runner of an attempt, and callbacks for the start of its response. */
+export interface AttemptHooks {
+  runnerId: string;
+  onFirstByte(): void;
+  /** Called with the decoded response head, whether or not it is signed. */
+  onResponseInfo(info: ResponseInfo): void;
+}
+
+export interface ResponseRelayOptions {
+  context: GatewayContext;
+  route: RoutePolicy;
+  response: ServerResponse;
+  decoded: DecodedRequest;
+  startedMs: number;
+}
+
+/** A response that is being received from a runner. */
+interface IncomingResponse {
+  head: ResponseHead;
+  info: ResponseInfo;
+  framing: Framing;
+  /** Forwarded event by event; otherwise buffered until it is complete. */
+  isStreamed: boolean;
+  chunks: Buffer[];
+  bufferedBytes: number;
+  firstByteMs: number;
+}
+
+/**
+ * Forwards responses to the caller: a stream event by event, any other response
+ * only once it is complete, so that a caller never receives a truncated body.
+ */
+export class ResponseRelay {
+  /** Whether the head of a stream was sent to the caller. */
+  hasStarted = false;
+  firstByteMs: number | undefined;
+  lastEventId: string | undefined;
+  /** The longest time between two events that were forwarded to the caller. */
+  longestPauseMs: number | undefined;
+  private lastEventAtMs: number | undefined;
+  private inFlight: {attempt: Attempt; abandon: () => void} | undefined;
+
+  constructor(private readonly options: ResponseRelayOptions) {}
+
+  /** Whether a runner has the request or a part of a response was forwarded. */
+  get isSent(): boolean {
+    return this.hasStarted || (this.inFlight?.attempt.mayHaveRun ?? false);
+  }
+
+  /** Sends one attempt; resolves when its response ends or fails. */
+  relay(
+    connection: RunnerConnection,
+    attemptRequest: AttemptRequest,
+    hooks: AttemptHooks,
+  ): Promise<AttemptResult> {
+    return new Promise(resolve => {
+      const settle = (result: AttemptResult) => {
+        this.inFlight = undefined;
+        if (result.kind === 'broken') connection.destroy();
+        resolve(result);
+      };
+      const observer = this.createObserver(connection, settle, hooks);
+      const attempt = new Attempt(connection, observer);
+      const abandon = () => settle(brokenResult('attempt cancelled'));
+      this.inFlight = {attempt, abandon};
+      attempt.send(attemptRequest);
+    });
+  }
+
+  /**
+   * Cancels the attempt in flight, which stops the runner's work on it.
+   *
+   * @returns whether the request may have reached the runner.
+   */
+  cancel(): boolean {
+    const {inFlight} = this;
+    if (!inFlight) return false;
+    inFlight.attempt.cancel();
+    inFlight.abandon();
+    return inFlight.attempt.mayHaveRun;
+  }
+
+  /** Forwards a runner's error response to the caller unchanged. */
+  deliverFailure(result: {
+    status: number;
+    headers: ResponseHeaders;
+    body: Buffer;
+  }): void {
+    this.sendComplete(result.status, result.headers, result.body);
+  }
+
+  private createObserver(
+    connection: RunnerConnection,
+    settle: (result: AttemptResult) => void,
+    hooks: AttemptHooks,
+  ): AttemptObserver {
+    const splitter = new EventSplitter();
+    const sentMs = this.options.context.clock.nowMs();
+    let incoming: IncomingResponse | undefined;
+    const fail = (error: string) => {
+      this.inFlight?.attempt.cancel();
+      settle(brokenResult(error));
+    };
+    return {
+      onHead: head => {
+        incoming = this.decodeHead(head, sentMs, hooks.runnerId);
+        hooks.onResponseInfo(incoming.info);
+        if (!incoming.info.notExecuted) hooks.onFirstByte();
+        const integrityError = this.integrityErrorOf(incoming.info);
+        if (integrityError !== undefined) return fail(integrityError);
+        // Only after the checks: the head can't be replaced when another runner
+        // resumes the stream, so it must belong to this request.
+        if (incoming.isStreamed) this.startResponse(head);
+      },
+      onData: chunk => {
+        if (!incoming) return true;
+        if (incoming.isStreamed) return this.forwardEvents(splitter, chunk);
+        incoming.bufferedBytes += chunk.length;
+        incoming.chunks.push(chunk);
+        const {maxGatheredBytes} = this.options.context.options;
+        if (incoming.bufferedBytes > maxGatheredBytes) fail('body too large');
+        return true;
+      },
+      onEnd: () => {
+        if (!incoming) return fail('connection ended without a response');
+        if (incoming.framing !== 'until-close') {
+          settle(this.complete(incoming, splitter));
+          return;
+        }
+        const endedResponse = incoming;
+        void connection.endedInOrder().then(isComplete => {
+          if (!this.inFlight) return;
+          if (isComplete) settle(this.complete(endedResponse, splitter));
+          else settle(closedByRunnerResult('response truncated by a reset'));
+        });
+      },
+      onError: error => {
+        if (connection.established) {
+          settle(closedByRunnerResult(error.message));
+        } else {
+          settle({kind: 'unreached', error: error.message});
+        }
+      },
+    };
+  }
+
+  private decodeHead(
+    head: ResponseHead,
+    sentMs: number,
+    runnerId: string,
+  ): IncomingResponse {
+    const {context, route} = this.options;
+    const info = context.codec.decodeResponse(
+      head.status,
+      head.headers,
+      runnerId,
+    );
+    const isSuccess = head.status < 300 && info.signed;
+    const nowMs = context.clock.nowMs();
+    const isStreamed = route.kind === 'streaming' && isSuccess;
+    return {
+      head,
+      info,
+      framing: framingOf(head.headers),
+      isStreamed,
+      chunks: [],
+      bufferedBytes: 0,
+      firstByteMs: nowMs - sentMs,
+    };
+  }
+
+  /** Why a response can't be forwarded, by its head; undefined if it can. */
+  private integrityErrorOf({
+    requestId,
+    encoded,
+  }: ResponseInfo): string | undefined {
+    const expected = this.options.decoded.request.requestId;
+    if (requestId !== undefined && requestId !== expected) {
+      return 'response belongs to another request';
+    }
+    return encoded ? 'response body was re-encoded in transit' : undefined;
+  }
+
+  /** Sends the head once; it stays when another runner resumes the stream. */
+  private startResponse({status, headers}: ResponseHead): void {
+    if (this.hasStarted) return;
+    this.hasStarted = true;
+    const {response, context, startedMs} = this.options;
+    this.firstByteMs = Math.round(context.clock.nowMs() - startedMs);
+    const forwarded = context.codec.forwardedResponseHeaders(headers);
+    delete forwarded['content-length'];
+    if (context.isDraining()) forwarded['connection'] = 'close';
+    response.writeHead(status, forwarded);
+    response.flushHeaders();
+  }
+
+  private forwardEvents(splitter: EventSplitter, chunk: Buffer): boolean {
+    const events = splitter.push(chunk);
+    if (!events) return true;
+    if (events.lastEventId !== undefined) this.lastEventId = events.lastEventId;
+    this.recordPause();
+    const {response} = this.options;
+    if (response.write(events.bytes)) return true;
+    const {inFlight} = this;
+    response.once('drain', () => inFlight?.attempt.resume());
+    return false;
+  }
+
+  private recordPause(): void {
+    const nowMs = this.options.context.clock.nowMs();
+    const pauseMs = Math.round(nowMs - (this.lastEventAtMs ?? nowMs));
+    this.longestPauseMs = Math.max(this.longestPauseMs ?? 0, pauseMs);
+    this.lastEventAtMs = nowMs;
+  }
+
+  private complete(
+    incoming: IncomingResponse,
+    splitter: EventSplitter,
+  ): AttemptResult {
+    const {head, info, chunks, isStreamed, firstByteMs} = incoming;
+    const {status, headers} = head;
+    const canReuse = this.canReuse(incoming);
+    if (isStreamed) {
+      if (splitter.pending.length > 0) {
+        return closedByRunnerResult('stream ended inside an event');
+      }
+      this.options.response.end();
+      return {
+        kind: 'delivered',
+        status,
+        isSuccess: true,
+        firstByteMs,
+        canReuse,
+      };
+    }
+    const body = Buffer.concat(chunks);
+    if (status < 300) {
+      if (!info.signed) return brokenResult('response is unsigned');
+      this.firstByteMs = Math.round(firstByteMs);
+      this.sendComplete(status, headers, body);
+      return {
+        kind: 'delivered',
+        status,
+        isSuccess: true,
+        firstByteMs,
+        canReuse,
+      };
+    }
+    if (info.notExecuted) {
+      const {fromOtherRunner} = info;
+      return {kind: 'rejected', status, canReuse, fromOtherRunner};
+    }
+    if (info.signed) return {kind: 'failed', status, headers, body};
+    return brokenResult(`unsigned response with status ${status}`);
+  }
+
+  private canReuse({head, framing}: IncomingResponse): boolean {
+    const connectionHeader = String(
+      head.headers['connection'] ?? '',
+    ).toLowerCase();
+    return framing !== 'until-close' && !connectionHeader.includes('close');
+  }
+
+  private sendComplete(
+    status: number,
+    headers: ResponseHeaders,
+    body: Buffer,
+  ): void {
+    const {response, context} = this.options;
+    const forwarded = context.codec.forwardedResponseHeaders(headers);
+    if (!BODILESS_STATUSES.has(status)) {
+      forwarded['content-length'] = String(body.length);
+    }
+    if (context.isDraining()) forwarded['connection'] = 'close';
+    response.writeHead(status, forwarded);
+    response.end(body);
+  }
+}
+
+/** The result of an attempt that was cancelled or whose response is invalid. */
+function brokenResult(error: string): AttemptResult {
+  return {kind: 'broken', error, isClosedByRunner: false};
+}
+
+/** The result of an attempt whose connection the runner closed early. */
+function closedByRunnerResult(error: string): AttemptResult {
+  return {kind: 'broken', error, isClosedByRunner: true};
+}
