--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -1,7 +1,7 @@
-import {relayOf,type RelayCandidate} from '@banyanfold/decisions';
-import type {Clock,Logger,Metrics,Timer} from '@banyanfold/core';
-import type {EnsureAdapter,PermitTrial} from '../context.js';
-import type {TrialInput,TrialOutput} from '../crashes/crashContract.js';
+import {relayOf, type RelayCandidate} from '@banyanfold/decisions';
+import type {Clock, Logger, Metrics, Timer} from '@banyanfold/core';
+import type {EnsureAdapter, PermitTrial} from '../context.js';
+import type {TrialInput, TrialOutput} from '../crashes/crashContract.js';
 import type {CrashSuspects} from '../crashes/crashSuspects.js';
 import type {UsageAccounts} from '../callers/usageAccounts.js';
 import type {DemandMeter} from '../placement/demandMeter.js';
@@ -13,359 +13,440 @@
 import type {RunnerStates} from '../runners/runnerStates.js';
 import type {GatewayOptions} from '../options.js';
 import type {LeaseSource} from '../types.js';
-import {sumByKey,Relay} from './relay.js';
-import {LeaseAcquisition,acquisitionRank} from './leaseAcquisition.js';
+import {sumByKey, Relay} from './relay.js';
+import {LeaseAcquisition, acquisitionRank} from './leaseAcquisition.js';
 import {PeerClients} from './peerClients.js';
 import {PendingDemand} from './pendingDemand.js';
 import {urgentIntervalMs} from './urgentIntervalMs.js';
 import type {
-EnsureAdapterInput,EnsureAdapterOutput,ExchangeInput,ExchangeOutput,HolderHandlers,NotHolder} from './peerContract.js';
+  EnsureAdapterInput,
+  EnsureAdapterOutput,
+  ExchangeInput,
+  ExchangeOutput,
+  HolderHandlers,
+  NotHolder,
+} from './peerContract.js';
 
 export interface HolderLinkOptions {
-clock:Clock;
-logger:Logger;
-metrics:Metrics;
-options:GatewayOptions;
-lease:LeaseSource;
-/** Handlers of this process, used while it holds the lease itself. */
-ownHandlers:HolderHandlers;
-/** The properties of this process by which relays are chosen. */
-self:RelayCandidate;
-demand:DemandMeter;
-usage:UsageAccounts;
-suspects:CrashSuspects;
-states:RunnerStates;
-rateLimits:RunnerRateLimits;
-heldCopies:HeldCopies;
-loadRate:LoadRate;
-onEntryCount(count:number):void;
-configVersion():number;
-/** Called when a peer has a newer configuration than this process. */
-onNewerConfig(version:number,peer:string):void;
-/** Called with a time at which the configuration here was current. */
-onConfigCurrent(atMs:number):void;
-runnersChange():number;
-/** Called when a peer has read the runners up to this change. */
-onRunnersChange(runnersChange:number):void;
-random():number;
+  clock: Clock;
+  logger: Logger;
+  metrics: Metrics;
+  options: GatewayOptions;
+  lease: LeaseSource;
+  /** Handlers of this process, used while it holds the lease itself. */
+  ownHandlers: HolderHandlers;
+  /** The properties of this process by which relays are chosen. */
+  self: RelayCandidate;
+  demand: DemandMeter;
+  usage: UsageAccounts;
+  suspects: CrashSuspects;
+  states: RunnerStates;
+  rateLimits: RunnerRateLimits;
+  heldCopies: HeldCopies;
+  loadRate: LoadRate;
+  onEntryCount(count: number): void;
+  configVersion(): number;
+  /** Called when a peer has a newer configuration than this process. */
+  onNewerConfig(version: number, peer: string): void;
+  /** Called with a time at which the configuration here was current. */
+  onConfigCurrent(atMs: number): void;
+  runnersChange(): number;
+  /** Called when a peer has read the runners up to this change. */
+  onRunnersChange(runnersChange: number): void;
+  random(): number;
 }
 
 /** Three exchanges; with older state this process reads the store itself. */
-const MAX_STATE_AGE_MS=800;
+const MAX_STATE_AGE_MS = 800;
 /**
  * Maximum time since the holder read the store. The holder reads the runners
  * once a second, and a relay adds the time of one exchange. A leaving runner
  * must receive no more requests after two seconds.
  */
-const MAX_READ_AGE_MS=1_700;
+const MAX_READ_AGE_MS = 1_700;
 /** Six exchanges. A change of holder usually takes less. */
-const HOLDER_TIMEOUT_MS=1_500;
+const HOLDER_TIMEOUT_MS = 1_500;
 /**
  * Pause before a failed relay is used again. Within two seconds the holder
  * notices that a relay has ended, and names another one.
  */
-const RELAY_RETRY_MS=3_000;
+const RELAY_RETRY_MS = 3_000;
 
 /**
  * Exchanges state between an entry and the holder of the lease: in process if
  * this entry is the holder, else directly or through a relay.
  */
 export class HolderLink {
-private readonly relay:Relay;
-private readonly clients:PeerClients;
-private readonly pendingDemand:PendingDemand;
-private timer:Timer|undefined;
-private wasHolderReachable=true;
-private knownCopies:KnownRevision|undefined;
-private lastState:{atMs:number;readAgeMs:number}|undefined;
-private lastExchangeMs=0;
-private lastContactMs=0;
-/** Last list from the holder, in the order of acquiring the lease. */
-private standbys:readonly string[]=[];
-private readonly leaseAcquisition=new LeaseAcquisition();
-private entries=1;
-/** Last list from the holder, for this failure domain. */
-private relays:readonly string[]=[];
-private relayPausedUntilMs=Number.NEGATIVE_INFINITY;
+  private readonly relay: Relay;
+  private readonly clients: PeerClients;
+  private readonly pendingDemand: PendingDemand;
+  private timer: Timer | undefined;
+  private wasHolderReachable = true;
+  private knownCopies: KnownRevision | undefined;
+  private lastState: {atMs: number; readAgeMs: number} | undefined;
+  private lastExchangeMs = 0;
+  private lastContactMs = 0;
+  /** Last list from the holder, in the order of acquiring the lease. */
+  private standbys: readonly string[] = [];
+  private readonly leaseAcquisition = new LeaseAcquisition();
+  private entries = 1;
+  /** Last list from the holder, for this failure domain. */
+  private relays: readonly string[] = [];
+  private relayPausedUntilMs = Number.NEGATIVE_INFINITY;
 
-constructor(private readonly deps:HolderLinkOptions) {
-const {clock,self,demand,usage,suspects,lease,options}=deps;
-this.relay=new Relay({
-clock,address:self.address,demand,usage:usage.meter,outcomes:deps.states.outcomes,rateLimits:deps.rateLimits,suspects,ownLoad:()=>this.ownLoad(),configVersion:()=>deps.configVersion(),onNewerConfig:(version,peer)=>deps.onNewerConfig(version,peer),holderAddress:()=>lease.current().holderAddress});
-this.clients=new PeerClients(options.peerTimeoutMs,options.adapterTimeoutMs);
-const processId=`${self.address}#${clock.wallMs()}`;
-this.pendingDemand=new PendingDemand(demand,()=>usage.takeReports(),()=>deps.rateLimits.takeReports(),deps.states.outcomes,processId);
-}
+  constructor(private readonly deps: HolderLinkOptions) {
+    const {clock, self, demand, usage, suspects, lease, options} = deps;
+    this.relay = new Relay({
+      clock,
+      address: self.address,
+      demand,
+      usage: usage.meter,
+      outcomes: deps.states.outcomes,
+      rateLimits: deps.rateLimits,
+      suspects,
+      ownLoad: () => this.ownLoad(),
+      configVersion: () => deps.configVersion(),
+      onNewerConfig: (version, peer) => deps.onNewerConfig(version, peer),
+      holderAddress: () => lease.current().holderAddress,
+    });
+    this.clients = new PeerClients(
+      options.peerTimeoutMs,
+      options.adapterTimeoutMs,
+    );
+    const processId = `${self.address}#${clock.wallMs()}`;
+    this.pendingDemand = new PendingDemand(
+      demand,
+      () => usage.takeReports(),
+      () => deps.rateLimits.takeReports(),
+      deps.states.outcomes,
+      processId,
+    );
+  }
 
-start():void {
-this.deps.demand.onWaiting=()=>this.expediteExchange();
-this.deps.suspects.onReport=()=>this.expediteExchange();
-void this.runExchange();
-}
+  start(): void {
+    this.deps.demand.onWaiting = () => this.expediteExchange();
+    this.deps.suspects.onReport = () => this.expediteExchange();
+    void this.runExchange();
+  }
 
-stop():void {
-this.timer?.cancel();
-this.clients.close();
-}
+  stop(): void {
+    this.timer?.cancel();
+    this.clients.close();
+  }
 
-/** Handles a peer's exchange, as the holder or else as a relay. */
-readonly handleExchange=(input:ExchangeInput):ExchangeOutput|NotHolder=>{
-const {lease,ownHandlers}=this.deps;
-return lease.current().owns?ownHandlers.exchange(input):this.relay.exchange(input);
-};
+  /** Handles a peer's exchange, as the holder or else as a relay. */
+  readonly handleExchange = (
+    input: ExchangeInput,
+  ): ExchangeOutput | NotHolder => {
+    const {lease, ownHandlers} = this.deps;
+    return lease.current().owns
+      ? ownHandlers.exchange(input)
+      : this.relay.exchange(input);
+  };
 
-/**
+  /**
    * Whether another process, as the holder, reports changes and has read the
    * store recently. If the holder is silent or can't reach the store, this
    * process reads the store itself, or it would keep runners that have left.
    */
-get isRelayed():boolean {
-const {lease,clock}=this.deps;
-if(lease.current().isHolder||!this.lastState) return false;
-const ageMs=clock.nowMs()-this.lastState.atMs;
-const readAgeMs=this.lastState.readAgeMs+ageMs;
-return ageMs<MAX_STATE_AGE_MS&&readAgeMs<MAX_READ_AGE_MS;
-}
+  get isRelayed(): boolean {
+    const {lease, clock} = this.deps;
+    if (lease.current().isHolder || !this.lastState) return false;
+    const ageMs = clock.nowMs() - this.lastState.atMs;
+    const readAgeMs = this.lastState.readAgeMs + ageMs;
+    return ageMs < MAX_STATE_AGE_MS && readAgeMs < MAX_READ_AGE_MS;
+  }
 
-/** Whether state from a holder arrived within the last few exchanges. */
-get isHolderReachable():boolean {
-const {clock}=this.deps;
-const atMs=this.lastState?.atMs??Number.NEGATIVE_INFINITY;
-return clock.nowMs()-atMs<HOLDER_TIMEOUT_MS;
-}
+  /** Whether state from a holder arrived within the last few exchanges. */
+  get isHolderReachable(): boolean {
+    const {clock} = this.deps;
+    const atMs = this.lastState?.atMs ?? Number.NEGATIVE_INFINITY;
+    return clock.nowMs() - atMs < HOLDER_TIMEOUT_MS;
+  }
 
-readonly ensureAdapter:EnsureAdapter=async request=>{
-const {lease,heldCopies,logger,options,clock}=this.deps;
-const answer=await this.requestAdapter(request);
-if(!answer) return false;
-if(!answer.isThere) {
-logger.info('adapter-unavailable',{...request,reason:answer.reason});
-if(answer.reason==='not-holder') lease.refreshHolder();
-return false;
-}
-heldCopies.noteAdapter(request.runnerId,request.model,request.adapter);
-await new Promise<void>(resolve=>{
-clock.setTimer(options.adapterSettleMs,resolve);
-});
-return true;
-};
+  readonly ensureAdapter: EnsureAdapter = async request => {
+    const {lease, heldCopies, logger, options, clock} = this.deps;
+    const answer = await this.requestAdapter(request);
+    if (!answer) return false;
+    if (!answer.isThere) {
+      logger.info('adapter-unavailable', {...request, reason: answer.reason});
+      if (answer.reason === 'not-holder') lease.refreshHolder();
+      return false;
+    }
+    heldCopies.noteAdapter(request.runnerId, request.model, request.adapter);
+    await new Promise<void>(resolve => {
+      clock.setTimer(options.adapterSettleMs, resolve);
+    });
+    return true;
+  };
 
-/** Undefined while a suspect has to wait, also because there is no holder. */
-readonly permitTrial:PermitTrial=async request=>{
-const {lease,logger}=this.deps;
-const answer=await this.requestTrial(request);
-if(!answer) return undefined;
-const {runnerId,reason}=answer;
-if(runnerId!==undefined) return runnerId;
-logger.info('trial-waits',{fingerprint:request.fingerprint,reason});
-if(reason==='not-holder') lease.refreshHolder();
-return undefined;
-};
+  /** Undefined while a suspect has to wait, also because there is no holder. */
+  readonly permitTrial: PermitTrial = async request => {
+    const {lease, logger} = this.deps;
+    const answer = await this.requestTrial(request);
+    if (!answer) return undefined;
+    const {runnerId, reason} = answer;
+    if (runnerId !== undefined) return runnerId;
+    logger.info('trial-waits', {fingerprint: request.fingerprint, reason});
+    if (reason === 'not-holder') lease.refreshHolder();
+    return undefined;
+  };
 
-/** Undefined if the holder doesn't answer. */
-private async requestTrial(request:TrialInput):Promise<TrialOutput|undefined>{
-const {ownHandlers,lease}=this.deps;
-if(lease.current().isHolder) return ownHandlers.permitTrial(request);
-const holder=this.holderAddress();
-if(holder===undefined) return {reason:'no-holder'};
-try {
-return await this.clients.clientFor(holder).permitTrial(request);
-} catch(thrown) {
-this.handleHolderFailure(holder,thrown);
-return undefined;
-}
-}
+  /** Undefined if the holder doesn't answer. */
+  private async requestTrial(
+    request: TrialInput,
+  ): Promise<TrialOutput | undefined> {
+    const {ownHandlers, lease} = this.deps;
+    if (lease.current().isHolder) return ownHandlers.permitTrial(request);
+    const holder = this.holderAddress();
+    if (holder === undefined) return {reason: 'no-holder'};
+    try {
+      return await this.clients.clientFor(holder).permitTrial(request);
+    } catch (thrown) {
+      this.handleHolderFailure(holder, thrown);
+      return undefined;
+    }
+  }
 
-/** Undefined if the holder doesn't answer. */
-private async requestAdapter(request:EnsureAdapterInput):Promise<EnsureAdapterOutput|undefined>{
-const {ownHandlers,lease}=this.deps;
-if(lease.current().isHolder) return ownHandlers.ensureAdapter(request);
-const holder=this.holderAddress();
-if(holder===undefined) return {isThere:false,reason:'no-holder'};
-try {
-return await this.clients.clientFor(holder).ensureAdapter(request);
-} catch(thrown) {
-this.handleHolderFailure(holder,thrown);
-return undefined;
-}
-}
+  /** Undefined if the holder doesn't answer. */
+  private async requestAdapter(
+    request: EnsureAdapterInput,
+  ): Promise<EnsureAdapterOutput | undefined> {
+    const {ownHandlers, lease} = this.deps;
+    if (lease.current().isHolder) return ownHandlers.ensureAdapter(request);
+    const holder = this.holderAddress();
+    if (holder === undefined) return {isThere: false, reason: 'no-holder'};
+    try {
+      return await this.clients.clientFor(holder).ensureAdapter(request);
+    } catch (thrown) {
+      this.handleHolderFailure(holder, thrown);
+      return undefined;
+    }
+  }
 
-private async runExchange():Promise<void>{
-const {clock,options}=this.deps;
-this.timer?.cancel();
-this.timer=undefined;
-this.lastExchangeMs=clock.nowMs();
-await this.exchange();
-this.checkLease();
-this.schedule(options.exchangeIntervalMs);
-}
+  private async runExchange(): Promise<void> {
+    const {clock, options} = this.deps;
+    this.timer?.cancel();
+    this.timer = undefined;
+    this.lastExchangeMs = clock.nowMs();
+    await this.exchange();
+    this.checkLease();
+    this.schedule(options.exchangeIntervalMs);
+  }
 
-/** While no holder responds, queries the lease or tries to acquire it. */
-private checkLease():void {
-const {lease,clock,self,random}=this.deps;
-const action=this.leaseAcquisition.nextAction({
-nowMs:clock.nowMs(),silentMs:clock.nowMs()-this.lastContactMs,isVacant:lease.current().isVacant,rank:acquisitionRank(self.address,this.standbys,random)});
-if(action==='join') lease.setStandby(true);
-if(action==='ask') lease.refreshHolder();
-}
+  /** While no holder responds, queries the lease or tries to acquire it. */
+  private checkLease(): void {
+    const {lease, clock, self, random} = this.deps;
+    const action = this.leaseAcquisition.nextAction({
+      nowMs: clock.nowMs(),
+      silentMs: clock.nowMs() - this.lastContactMs,
+      isVacant: lease.current().isVacant,
+      rank: acquisitionRank(self.address, this.standbys, random),
+    });
+    if (action === 'join') lease.setStandby(true);
+    if (action === 'ask') lease.refreshHolder();
+  }
 
-/** Moves the next exchange forward, for callers that wait for a copy. */
-private expediteExchange():void {
-const {clock,options}=this.deps;
-// Without a timer an exchange is in flight; the next one sends the rest.
-if(!this.timer) return;
-const elapsedMs=clock.nowMs()-this.lastExchangeMs;
-const urgentMs=urgentIntervalMs(this.entries,options);
-this.schedule(Math.max(0,urgentMs-elapsedMs));
-}
+  /** Moves the next exchange forward, for callers that wait for a copy. */
+  private expediteExchange(): void {
+    const {clock, options} = this.deps;
+    // Without a timer an exchange is in flight; the next one sends the rest.
+    if (!this.timer) return;
+    const elapsedMs = clock.nowMs() - this.lastExchangeMs;
+    const urgentMs = urgentIntervalMs(this.entries, options);
+    this.schedule(Math.max(0, urgentMs - elapsedMs));
+  }
 
-private schedule(delayMs:number):void {
-this.timer?.cancel();
-this.timer=this.deps.clock.setTimer(delayMs,()=>void this.runExchange());
-}
+  private schedule(delayMs: number): void {
+    this.timer?.cancel();
+    this.timer = this.deps.clock.setTimer(
+      delayMs,
+      () => void this.runExchange(),
+    );
+  }
 
-private ownLoad():EntryLoad {
-const {self,states,demand}=this.deps;
-return {
-members:[self],openWork:states.ownOpenWork(),adaptersInUse:states.ownAdaptersInUse(),modelsInUse:states.ownModelsInUse(),waiting:demand.waitingNow()};
-}
+  private ownLoad(): EntryLoad {
+    const {self, states, demand} = this.deps;
+    return {
+      members: [self],
+      openWork: states.ownOpenWork(),
+      adaptersInUse: states.ownAdaptersInUse(),
+      modelsInUse: states.ownModelsInUse(),
+      waiting: demand.waitingNow(),
+    };
+  }
 
-private exchangeInput():ExchangeInput {
-const {self,configVersion,runnersChange}=this.deps;
-const versions={
-configVersion:configVersion(),runnersChange:runnersChange()};
-const load=this.relay.groupLoad(self);
-return {
-...load,...this.relay.newestVersions(versions),entry:self.address,members:[...load.members],adaptersInUse:load.adaptersInUse as ExchangeInput['adaptersInUse'],modelsInUse:load.modelsInUse as ExchangeInput['modelsInUse'],known:this.knownCopies,batch:this.pendingDemand.nextBatch(),rateLimits:this.deps.rateLimits.toldLimits(),crashes:this.deps.suspects.pendingReport(),knownSuspects:this.deps.suspects.knownVersion};
-}
+  private exchangeInput(): ExchangeInput {
+    const {self, configVersion, runnersChange} = this.deps;
+    const versions = {
+      configVersion: configVersion(),
+      runnersChange: runnersChange(),
+    };
+    const load = this.relay.groupLoad(self);
+    return {
+      ...load,
+      ...this.relay.newestVersions(versions),
+      entry: self.address,
+      members: [...load.members],
+      adaptersInUse: load.adaptersInUse as ExchangeInput['adaptersInUse'],
+      modelsInUse: load.modelsInUse as ExchangeInput['modelsInUse'],
+      known: this.knownCopies,
+      batch: this.pendingDemand.nextBatch(),
+      rateLimits: this.deps.rateLimits.toldLimits(),
+      crashes: this.deps.suspects.pendingReport(),
+      knownSuspects: this.deps.suspects.knownVersion,
+    };
+  }
 
-private async exchange():Promise<void>{
-const {ownHandlers,lease,self}=this.deps;
-if(lease.current().owns) {
-this.applyOutput(ownHandlers.exchange(this.exchangeInput()),self.address);
-return;
-}
-const relay=this.currentRelay();
-const address=relay??this.holderAddress();
-if(address===undefined) {
-lease.refreshHolder();
-return;
-}
-try {
-const output=await this.clients.clientFor(address).exchange(this.exchangeInput());
-this.applyOutput(output,address);
-} catch(thrown) {
-this.clients.drop(address);
-if(relay===undefined) this.handleHolderFailure(address,thrown);
-else this.handleRelayFailure(relay,errorText(thrown));
-}
-}
+  private async exchange(): Promise<void> {
+    const {ownHandlers, lease, self} = this.deps;
+    if (lease.current().owns) {
+      this.applyOutput(
+        ownHandlers.exchange(this.exchangeInput()),
+        self.address,
+      );
+      return;
+    }
+    const relay = this.currentRelay();
+    const address = relay ?? this.holderAddress();
+    if (address === undefined) {
+      lease.refreshHolder();
+      return;
+    }
+    try {
+      const output = await this.clients
+        .clientFor(address)
+        .exchange(this.exchangeInput());
+      this.applyOutput(output, address);
+    } catch (thrown) {
+      this.clients.drop(address);
+      if (relay === undefined) this.handleHolderFailure(address, thrown);
+      else this.handleRelayFailure(relay, errorText(thrown));
+    }
+  }
 
-/** Undefined if this process contacts the holder directly. */
-private currentRelay():string|undefined {
-const {clock,self}=this.deps;
-if(clock.nowMs()<this.relayPausedUntilMs) return undefined;
-return relayOf(self.address,this.relays);
-}
+  /** Undefined if this process contacts the holder directly. */
+  private currentRelay(): string | undefined {
+    const {clock, self} = this.deps;
+    if (clock.nowMs() < this.relayPausedUntilMs) return undefined;
+    return relayOf(self.address, this.relays);
+  }
 
-/** Contacts the holder directly for a while after a relay has failed. */
-private handleRelayFailure(relay:string,error:string):void {
-const {clock,logger}=this.deps;
-this.relayPausedUntilMs=clock.nowMs()+RELAY_RETRY_MS;
-logger.info('relay-lost',{relay,error});
-}
+  /** Contacts the holder directly for a while after a relay has failed. */
+  private handleRelayFailure(relay: string, error: string): void {
+    const {clock, logger} = this.deps;
+    this.relayPausedUntilMs = clock.nowMs() + RELAY_RETRY_MS;
+    logger.info('relay-lost', {relay, error});
+  }
 
-/**
+  /**
    * @param sender address of the process that answered, a relay or the holder.
    */
-private applyOutput(output:ExchangeOutput|NotHolder,sender:string):void {
-const {lease,self}=this.deps;
-if(output.kind==='not-holder') {
-lease.noteHolder(output.holderAddress);
-lease.refreshHolder();
-if(this.relays.includes(sender)) {
-this.handleRelayFailure(sender,'it has no recent state from the holder');
-}
-return;
-}
-this.pendingDemand.acknowledge();
-this.deps.suspects.acknowledge();
-this.deps.suspects.applyList(output.suspects);
-if(!this.wasHolderReachable) this.deps.logger.info('holder-reachable');
-this.wasHolderReachable=true;
-const isForwarded=output.holder!==sender;
-if(isForwarded) lease.noteHolder(output.holder);
-else if(sender!==self.address) this.relay.noteHolderState(output);
-this.deps.usage.applyFleetUsage(output.usage??{},output.ageMs,isForwarded);
-this.deps.rateLimits.tell(output.rateLimits??{},output.ageMs,isForwarded);
-this.deps.states.noteEjected(output.ejectedForMs??{},output.ageMs);
-this.applyVersions(output,sender);
-this.applyLoads(output,isForwarded);
-this.applyRoles(output);
-}
+  private applyOutput(
+    output: ExchangeOutput | NotHolder,
+    sender: string,
+  ): void {
+    const {lease, self} = this.deps;
+    if (output.kind === 'not-holder') {
+      lease.noteHolder(output.holderAddress);
+      lease.refreshHolder();
+      if (this.relays.includes(sender)) {
+        this.handleRelayFailure(
+          sender,
+          'it has no recent state from the holder',
+        );
+      }
+      return;
+    }
+    this.pendingDemand.acknowledge();
+    this.deps.suspects.acknowledge();
+    this.deps.suspects.applyList(output.suspects);
+    if (!this.wasHolderReachable) this.deps.logger.info('holder-reachable');
+    this.wasHolderReachable = true;
+    const isForwarded = output.holder !== sender;
+    if (isForwarded) lease.noteHolder(output.holder);
+    else if (sender !== self.address) this.relay.noteHolderState(output);
+    this.deps.usage.applyFleetUsage(
+      output.usage ?? {},
+      output.ageMs,
+      isForwarded,
+    );
+    this.deps.rateLimits.tell(
+      output.rateLimits ?? {},
+      output.ageMs,
+      isForwarded,
+    );
+    this.deps.states.noteEjected(output.ejectedForMs ?? {}, output.ageMs);
+    this.applyVersions(output, sender);
+    this.applyLoads(output, isForwarded);
+    this.applyRoles(output);
+  }
 
-private applyVersions(output:ExchangeOutput,sender:string):void {
-const {clock,heldCopies,metrics}=this.deps;
-const nowMs=clock.nowMs();
-const {ageMs,runnersReadAgeMs,configReadAgeMs}=output;
-const readAgeMs=Math.max(runnersReadAgeMs,configReadAgeMs??0)+ageMs;
-if(output.configVersion>this.deps.configVersion()) {
-this.deps.onNewerConfig(output.configVersion,sender);
-} else if(configReadAgeMs!==undefined) {
-this.deps.onConfigCurrent(nowMs-configReadAgeMs-ageMs);
-}
-this.deps.onRunnersChange(output.runnersChange);
-this.lastState={atMs:nowMs,readAgeMs};
-if(output.isOrdering) this.lastContactMs=nowMs;
-metrics.observeMs('holder_word_age_ms',ageMs);
-heldCopies.tell(output.copies,ageMs);
-heldCopies.tellCopiesInMs(output.copiesInMs);
-const {epoch,revision}=output.copies;
-this.knownCopies={epoch,revision};
-}
+  private applyVersions(output: ExchangeOutput, sender: string): void {
+    const {clock, heldCopies, metrics} = this.deps;
+    const nowMs = clock.nowMs();
+    const {ageMs, runnersReadAgeMs, configReadAgeMs} = output;
+    const readAgeMs = Math.max(runnersReadAgeMs, configReadAgeMs ?? 0) + ageMs;
+    if (output.configVersion > this.deps.configVersion()) {
+      this.deps.onNewerConfig(output.configVersion, sender);
+    } else if (configReadAgeMs !== undefined) {
+      this.deps.onConfigCurrent(nowMs - configReadAgeMs - ageMs);
+    }
+    this.deps.onRunnersChange(output.runnersChange);
+    this.lastState = {atMs: nowMs, readAgeMs};
+    if (output.isOrdering) this.lastContactMs = nowMs;
+    metrics.observeMs('holder_word_age_ms', ageMs);
+    heldCopies.tell(output.copies, ageMs);
+    heldCopies.tellCopiesInMs(output.copiesInMs);
+    const {epoch, revision} = output.copies;
+    this.knownCopies = {epoch, revision};
+  }
 
-private applyLoads(output:ExchangeOutput,isForwarded:boolean):void {
-const {lease,loadRate,clock,states,self,onEntryCount}=this.deps;
-// The holder already knows its own loads.
-if(!lease.current().isHolder) {
-loadRate.learn(output.loadAgesMs,clock.nowMs());
-}
-const {peersWork,peersRequests}=output;
-if(isForwarded) {
-states.notePeersWork(peersWork,peersRequests);
-} else {
-const group=this.relay.groupLoadExcluding(self.address);
-states.notePeersWork(sumByKey(peersWork,group.work),sumByKey(peersRequests,group.requests));
-}
-this.entries=output.entries;
-onEntryCount(output.entries);
-}
+  private applyLoads(output: ExchangeOutput, isForwarded: boolean): void {
+    const {lease, loadRate, clock, states, self, onEntryCount} = this.deps;
+    // The holder already knows its own loads.
+    if (!lease.current().isHolder) {
+      loadRate.learn(output.loadAgesMs, clock.nowMs());
+    }
+    const {peersWork, peersRequests} = output;
+    if (isForwarded) {
+      states.notePeersWork(peersWork, peersRequests);
+    } else {
+      const group = this.relay.groupLoadExcluding(self.address);
+      states.notePeersWork(
+        sumByKey(peersWork, group.work),
+        sumByKey(peersRequests, group.requests),
+      );
+    }
+    this.entries = output.entries;
+    onEntryCount(output.entries);
+  }
 
-private applyRoles({standbys,relays}:ExchangeOutput):void {
-const {lease,self}=this.deps;
-this.relays=relays;
-this.standbys=standbys;
-if(!standbys.includes(self.address)) lease.setStandby(false);
-}
+  private applyRoles({standbys, relays}: ExchangeOutput): void {
+    const {lease, self} = this.deps;
+    this.relays = relays;
+    this.standbys = standbys;
+    if (!standbys.includes(self.address)) lease.setStandby(false);
+  }
 
-private handleHolderFailure(holder:string,thrown:unknown):void {
-const {logger,lease,metrics}=this.deps;
-metrics.count('holder_exchanges_lost_total');
-if(this.wasHolderReachable) {
-logger.warn('holder-lost',{holder,error:errorText(thrown)});
-}
-this.wasHolderReachable=false;
-lease.refreshHolder();
-}
+  private handleHolderFailure(holder: string, thrown: unknown): void {
+    const {logger, lease, metrics} = this.deps;
+    metrics.count('holder_exchanges_lost_total');
+    if (this.wasHolderReachable) {
+      logger.warn('holder-lost', {holder, error: errorText(thrown)});
+    }
+    this.wasHolderReachable = false;
+    lease.refreshHolder();
+  }
 
-/** Undefined while no holder other than this process is known. */
-private holderAddress():string|undefined {
-const {lease,self}=this.deps;
-const {holderAddress}=lease.current();
-return holderAddress===self.address?undefined:holderAddress;
-}
+  /** Undefined while no holder other than this process is known. */
+  private holderAddress(): string | undefined {
+    const {lease, self} = this.deps;
+    const {holderAddress} = lease.current();
+    return holderAddress === self.address ? undefined : holderAddress;
+  }
 }
 
-function errorText(thrown:unknown):string {
-return thrown instanceof Error?thrown.message:String(thrown);
+function errorText(thrown: unknown): string {
+  return thrown instanceof Error ? thrown.message : String(thrown);
 }
