--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -225,7 +225,7 @@
       suspects,
       states: runnerStates,
       rateLimits,
-      heldCopies: held: heldCopies,
+      heldCopies,
       loadRate,
       configVersion: () => this.view.current?.version ?? 0,
       onNewerConfig,
