--- a/soak/src/__tests__/judge.test.ts
+++ b/soak/src/__tests__/judge.test.ts
@@ -24,7 +24,7 @@
     entryStart: 1,
     startedMs: 1_000,
     endedMs: 1_100,
-    seen: {status: 200, headers: SIGNED, text: '', isCut: false, ...seen},
+    seen: {status: 200, headers: SIGNED, text: '', isTruncated: false, ...seen},
   };
 }
 
@@ -34,7 +34,7 @@
     target: '/x',
     atMs: 0,
     rawHeaders: [],
-    ran: true,
+    isExecuted: true,
     cancelled: false,
     fault,
   };
@@ -44,7 +44,7 @@
 /** Ten seconds apart, each cut by the crash that it caused. */
 function sendings(count: number): Call[] {
   return Array.from({length: count}, (_, i) => ({
-    ...callOf('letter', {isCut: true}),
+    ...callOf('letter', {isTruncated: true}),
     id: `crash-${i}`,
     startedMs: 1_000 + i * 10_000,
     endedMs: 1_100 + i * 10_000,
@@ -99,7 +99,7 @@
     {
       calls: [
         callOf('letter', {
-          isCut: true,
+          isTruncated: true,
           text: 'id: 1\ndata: token 1\n\nid: 1\ndata: token 1\n\n',
         }),
       ],
@@ -118,7 +118,7 @@
   ],
   [
     'a cut without a cause',
-    {calls: [callOf('lodge', {isCut: true})], seen: ran(1)},
+    {calls: [callOf('lodge', {isTruncated: true})], seen: ran(1)},
     ['no answer is cut but by a fault'],
   ],
   [
@@ -145,7 +145,7 @@
   [
     'a cut by a kill',
     {
-      calls: [callOf('lodge', {isCut: true})],
+      calls: [callOf('lodge', {isTruncated: true})],
       seen: ran(1),
       faults: [
         {kind: 'entry-kill', fromMs: 1_050, toMs: 1_050, entry: 'entry-0'},
@@ -155,7 +155,7 @@
   ],
   [
     'a cut that the runner made',
-    {calls: [callOf('lodge', {isCut: true})], seen: ran(1, 'silent')},
+    {calls: [callOf('lodge', {isTruncated: true})], seen: ran(1, 'silent')},
     [],
   ],
   [
--- a/soak/src/callers.ts
+++ b/soak/src/callers.ts
@@ -1,5 +1,5 @@
 import http from 'node:http';
-import {ask, type Seen} from '@banyanfold/platform/standins';
+import {sendRequest, type CallerResponse} from '@banyanfold/platform/standins';
 import type {EntryProcess} from './entryProcess.js';
 import {pause} from './pause.js';
 import type {Draw} from './random.js';
@@ -53,7 +53,7 @@
   entryStart: number;
   startedMs: number;
   endedMs: number;
-  seen: Seen;
+  seen: CallerResponse;
 }
 
 const KIND_NAMES = Object.keys(CALL_KINDS);
@@ -106,7 +106,7 @@
     const startedMs = performance.now();
     const entryStart = entry.starts;
     this.open.set(id, startedMs);
-    const seen = await ask({
+    const seen = await sendRequest({
       port: entry.callersPort,
       route,
       id,
@@ -125,6 +125,6 @@
       endedMs,
       seen,
     });
-    if (seen.status === 0 || seen.isCut) this.entry = draw.pick(entries);
+    if (seen.status === 0 || seen.isTruncated) this.entry = draw.pick(entries);
   }
 }
--- a/soak/src/configProber.ts
+++ b/soak/src/configProber.ts
@@ -1,4 +1,4 @@
-import {ask} from '@banyanfold/platform/standins';
+import {sendRequest} from '@banyanfold/platform/standins';
 import type {EntryProcess} from './entryProcess.js';
 import type {AddedRoute, FaultContext} from './faults.js';
 import type {ConfigProbe} from './judge.js';
@@ -43,7 +43,7 @@
   private async probe(process: EntryProcess, added: AddedRoute): Promise<void> {
     const entryStart = process.starts;
     const askedMs = performance.now();
-    const {status} = await ask({
+    const {status} = await sendRequest({
       port: process.callersPort,
       route: added.name,
       id: `probe-${process.name}-${Math.round(askedMs)}`,
--- a/soak/src/crashingCaller.ts
+++ b/soak/src/crashingCaller.ts
@@ -1,4 +1,4 @@
-import {ask} from '@banyanfold/platform/standins';
+import {sendRequest} from '@banyanfold/platform/standins';
 import {CALL_KINDS, type Call} from './callers.js';
 import type {EntryProcess} from './entryProcess.js';
 import {pause} from './pause.js';
@@ -41,7 +41,7 @@
     const id = `crash-${this.calls.length + 1}`;
     const startedMs = performance.now();
     const entryStart = entry.starts;
-    const seen = await ask({
+    const seen = await sendRequest({
       port: entry.callersPort,
       route,
       id,
--- a/soak/src/faults.ts
+++ b/soak/src/faults.ts
@@ -87,11 +87,11 @@
     store.fault = 'none';
   },
   'store-forgets': async ({system}, fault) => {
-    system.platform.store.forgetHistory(at(TOPICS, fault.variant));
+    system.platform.store.deleteHistory(at(TOPICS, fault.variant));
   },
   'store-restore': async ({system, addedRoutes}, fault) => {
     const {platform} = system;
-    const copy = platform.store.copy();
+    const copy = platform.store.snapshot();
     await pause(fault.forMs);
     platform.store.restore(copy);
     // The operator writes again what it had written.
--- a/soak/src/judge.ts
+++ b/soak/src/judge.ts
@@ -1,7 +1,7 @@
 import {
-  eventsOf,
+  parseEvents,
   type AcceptedOrder,
-  type SeenRequest,
+  type ReceivedRequest,
 } from '@banyanfold/platform/standins';
 import {CALL_KINDS, type Call} from './callers.js';
 import type {FaultKind} from './soakPlan.js';
@@ -33,7 +33,7 @@
   /** Sendings of the one request that crashes each runner that runs it. */
   crashing: readonly Call[];
   /** All that reached a runner, by request id. */
-  seen: ReadonlyMap<string, readonly SeenRequest[]>;
+  seen: ReadonlyMap<string, readonly ReceivedRequest[]>;
   orders: readonly AcceptedOrder[];
   overfilled: readonly AcceptedOrder[];
   faults: readonly PlayedFault[];
@@ -85,7 +85,7 @@
   'stream has no gap and no repeat': ({calls, seen}) =>
     calls
       .filter(({kind}) => CALL_KINDS[kind]!.isStream)
-      .filter(call => !isPrefix(eventsOf(call.seen.text)))
+      .filter(call => !isPrefix(parseEvents(call.seen.text)))
       .map(call => describe(call, seen)),
   'what may not be repeated runs once': ({calls, seen}) =>
     calls
@@ -132,24 +132,27 @@
 }
 
 function isWholeOrFailed({id, kind, seen}: Call): boolean {
-  if (seen.isCut || seen.status >= 300) return true;
+  if (seen.isTruncated || seen.status >= 300) return true;
   const isOwn = seen.headers['request-id'] === id;
   if (!isOwn || seen.headers['server-stamp'] === undefined) return false;
   if (!CALL_KINDS[kind]!.isStream) return /^answer of \S+$/.test(seen.text);
-  return eventsOf(seen.text).length === STREAM_EVENTS;
+  return parseEvents(seen.text).length === STREAM_EVENTS;
 }
 
 function isPrefix(events: readonly string[]): boolean {
   return events.every((event, i) => event === `${i + 1} token ${i + 1}`);
 }
 
-function runsOf(seen: SoakRecord['seen'], id: string): readonly SeenRequest[] {
-  return (seen.get(id) ?? []).filter(({ran}) => ran);
+function runsOf(
+  seen: SoakRecord['seen'],
+  id: string,
+): readonly ReceivedRequest[] {
+  return (seen.get(id) ?? []).filter(({isExecuted: ran}) => ran);
 }
 
 /** A request that a runner ran and whose caller got no end, undisturbed. */
 function isCutWithoutCause(call: Call, {seen, faults}: SoakRecord): boolean {
-  if (!call.seen.isCut && call.seen.status !== 0) return false;
+  if (!call.seen.isTruncated && call.seen.status !== 0) return false;
   const runs = runsOf(seen, call.id);
   if (runs.length === 0 || runs.some(({fault}) => fault)) return false;
   const isRunnerStruck = faults.some(
@@ -239,11 +242,11 @@
 
 function describe(call: Call, allSeen: SoakRecord['seen']): string {
   const {id, kind, entry, startedMs, endedMs, seen} = call;
-  const {status, isCut} = seen;
+  const {status, isTruncated: isCut} = seen;
   const tookMs = Math.round(endedMs - startedMs);
-  const events = eventsOf(seen.text).length;
+  const events = parseEvents(seen.text).length;
   const runs = (allSeen.get(id) ?? []).map(
-    ({ran, fault}) => fault ?? (ran ? 'ran' : 'turned away'),
+    ({isExecuted: ran, fault}) => fault ?? (ran ? 'ran' : 'turned away'),
   );
   return (
     `${id} ${kind} at ${entry}: status ${status}, ` +
--- a/soak/src/runSeed.ts
+++ b/soak/src/runSeed.ts
@@ -1,4 +1,4 @@
-import type {SeenRequest} from '@banyanfold/platform/standins';
+import type {ReceivedRequest} from '@banyanfold/platform/standins';
 import {Caller} from './callers.js';
 import {CrashingCaller} from './crashingCaller.js';
 import {ConfigProber} from './configProber.js';
@@ -87,7 +87,9 @@
     calls: callers.flatMap(({calls}) => calls),
     seen: seenById(system),
     orders: system.runners.flatMap(({orders}) => orders),
-    overfilled: system.runners.flatMap(({overfilled}) => overfilled),
+    overfilled: system.runners.flatMap(
+      ({overcommittedOrders: overfilled}) => overfilled,
+    ),
     faults: [...faults, ...system.crashesMs.map(crashAt)],
     probes: prober.probes,
     ownEnds: system.entries.flatMap(({process: {name, ownEnds}}) =>
@@ -126,7 +128,9 @@
   {seed, isTimed}: RunSeedOptions,
 ): SeedVerdict {
   const {calls, faults} = record;
-  const served = calls.filter(({seen}) => seen.status === 200 && !seen.isCut);
+  const served = calls.filter(
+    ({seen}) => seen.status === 200 && !seen.isTruncated,
+  );
   return {
     seed,
     violations: judge(record, isTimed),
@@ -161,8 +165,8 @@
 }
 
 function seenById({runners}: SoakSystem): SoakRecord['seen'] {
-  const byId = new Map<string, SeenRequest[]>();
-  for (const seen of runners.flatMap(runner => runner.seen)) {
+  const byId = new Map<string, ReceivedRequest[]>();
+  for (const seen of runners.flatMap(runner => runner.receivedRequests)) {
     const known = byId.get(seen.requestId) ?? [];
     known.push(seen);
     byId.set(seen.requestId, known);
--- a/soak/src/untilServed.ts
+++ b/soak/src/untilServed.ts
@@ -1,4 +1,4 @@
-import {ask, eventsOf} from '@banyanfold/platform/standins';
+import {sendRequest, parseEvents} from '@banyanfold/platform/standins';
 import {CALL_KINDS} from './callers.js';
 import {pause} from './pause.js';
 import {STREAM_EVENTS, type SoakSystem} from './soakSystem.js';
@@ -18,14 +18,14 @@
   );
   while (missing.length > 0 && performance.now() < endMs) {
     const {process, call} = missing[0]!;
-    const seen = await ask({
+    const seen = await sendRequest({
       port: process.callersPort,
       route: call.route,
       id: `after-${process.name}-${Math.round(endMs)}-${++asked}`,
       headers: {...call.headers, 'deadline-ms': String(DEADLINE_MS)},
       body: 'x',
     });
-    const events = eventsOf(seen.text).length;
+    const events = parseEvents(seen.text).length;
     const isWhole = !call.isStream || events === STREAM_EVENTS;
     if (seen.status === 200 && isWhole) missing.shift();
     else await pause(POLL_MS);
