--- a/bench/src/plan/fleetOf.ts
+++ b/bench/src/plan/fleetOf.ts
@@ -52,7 +52,7 @@
     memoryLoadMs: 390,
     workPerSecond: requestsPerSecond * WORK_A_REQUEST,
     requestsPerSecond,
-    usualRequestsPerSecond: requestsPerSecond,
+    longTermRequestsPerSecond: requestsPerSecond,
     waiting: isAbsent(i) ? 12 : 0,
     idleMs: 0,
   };
--- a/packages/banyanfold-decisions/src/__tests__/judgeCrashes.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/attributeCrashes.test.ts
@@ -1,29 +1,32 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {judgeCrashes, type CrashRow} from '../crashes/judgeCrashes.js';
+import {
+  attributeCrashes,
+  type CrashHistory,
+} from '../crashes/attributeCrashes.js';
 
 function row(
   fingerprint: string,
   crashes: string[],
-  fields: Partial<CrashRow> = {},
-): CrashRow {
+  fields: Partial<CrashHistory> = {},
+): CrashHistory {
   return {
     fingerprint,
     crashes: new Set(crashes),
     hasCrashedAlone: true,
     unresolvedTrials: 0,
-    isKnownGuilty: false,
+    hasPriorQuarantine: false,
     ...fields,
   };
 }
 
-function verdicts(rows: CrashRow[], unsettled: string[] = []) {
+function verdicts(rows: CrashHistory[], unsettled: string[] = []) {
   return Object.fromEntries(
-    judgeCrashes(rows, life => !unsettled.includes(life)),
+    attributeCrashes(rows, life => !unsettled.includes(life)),
   );
 }
 
-describe('judgeCrashes', () => {
+describe('attributeCrashes', () => {
   it('lets one crash go by, and suspects from the second on', () => {
     expect(verdicts([row('a', ['1']), row('b', ['1', '2'])])).toEqual({
       b: 'suspect',
@@ -71,7 +74,7 @@
   it('keeps one in quarantine while news of late crashes comes in', () => {
     const rows = [row('guilty', ['1', '2', '3', '4', '5'])];
     expect(verdicts(rows, ['5'])).toEqual({guilty: 'quarantined'});
-    const known = [row('guilty', [], {isKnownGuilty: true})];
+    const known = [row('guilty', [], {hasPriorQuarantine: true})];
     expect(verdicts(known)).toEqual({guilty: 'quarantined'});
   });
 
--- a/packages/banyanfold-decisions/src/__tests__/chooseRunner.fleet.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/chooseRunner.fleet.test.ts
@@ -1,5 +1,9 @@
 import {describe, expect, it} from 'vitest';
-import {chooseRunner, levelOf, type ComingFlow} from '../chooseRunner.js';
+import {
+  chooseRunner,
+  waterLevel,
+  type ConcurrentArrivals,
+} from '../chooseRunner.js';
 
 const ENTRIES = 68;
 const DOMAINS = 6;
@@ -62,7 +66,7 @@
       isSuspect: false,
     }));
     const affinity = {key: `m/${i % 44}`, sharedWork: SHARED_WORK};
-    const flow: ComingFlow | undefined = countsFlow
+    const flow: ConcurrentArrivals | undefined = countsFlow
       ? {work: (60 * PROMPT_WORK * TOLD_MS) / 1000, random}
       : undefined;
     const domain = `d${entry % DOMAINS}`;
@@ -96,11 +100,11 @@
   });
 });
 
-describe('levelOf', () => {
+describe('waterLevel', () => {
   it('fills the least loaded first, all to one height', () => {
-    expect(levelOf([0, 10, 50], 0)).toBe(0);
-    expect(levelOf([0, 10, 50], 20)).toBe(15);
-    expect(levelOf([50, 0, 10], 150)).toBe(70);
-    expect(levelOf([5], 3)).toBe(8);
+    expect(waterLevel([0, 10, 50], 0)).toBe(0);
+    expect(waterLevel([0, 10, 50], 20)).toBe(15);
+    expect(waterLevel([50, 0, 10], 150)).toBe(70);
+    expect(waterLevel([5], 3)).toBe(8);
   });
 });
--- a/packages/banyanfold-decisions/src/__tests__/chooseRunner.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/chooseRunner.test.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {chooseRunner, type RunnerChoice} from '../chooseRunner.js';
+import {chooseRunner, type RunnerCandidate} from '../chooseRunner.js';
 
-function choice(runnerId: string, fields: Partial<RunnerChoice> = {}) {
+function choice(runnerId: string, fields: Partial<RunnerCandidate> = {}) {
   return {
     runnerId,
     failureDomain: 'hall-a',
@@ -15,7 +15,7 @@
 
 const THREE = ['r1', 'r2', 'r3'].map(id => choice(id));
 
-function chosen(choices: RunnerChoice[], key: string) {
+function chosen(choices: RunnerCandidate[], key: string) {
   const affinity = key === '' ? undefined : {key, sharedWork: 6};
   return chooseRunner(choices, affinity, 'hall-a')?.runnerId;
 }
--- a/packages/banyanfold-decisions/src/__tests__/decideWindow.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decidePromptWindow.test.ts
@@ -1,10 +1,13 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {decideWindow, DEFAULT_WINDOW_OPTIONS} from '../decideWindow.js';
+import {
+  decidePromptWindow,
+  DEFAULT_PROMPT_WINDOW_OPTIONS,
+} from '../decidePromptWindow.js';
 
 const TARGET_MS = 150;
 
-describe('decideWindow', () => {
+describe('decidePromptWindow', () => {
   it.each([
     ['shrinks after a pause too long', 4, 151, 3.6],
     ['grows after one in time', 4, 150, 4.03],
@@ -12,20 +15,20 @@
     ['stays bounded', 64, 10, 64],
   ])('%s', (_what, window, longestPauseMs, expected) => {
     const pace = {longestPauseMs, pauseTargetMs: TARGET_MS};
-    expect(decideWindow(window, pace)).toBeCloseTo(expected);
+    expect(decidePromptWindow(window, pace)).toBeCloseTo(expected);
   });
 
   it('never leaves its bounds', () => {
     const pauses = fc.array(fc.integer({min: 0, max: 1_000}));
     fc.assert(
       fc.property(pauses, longest => {
-        const {least, most} = DEFAULT_WINDOW_OPTIONS;
+        const {min, max} = DEFAULT_PROMPT_WINDOW_OPTIONS;
         let window = 4;
         for (const longestPauseMs of longest) {
           const pace = {longestPauseMs, pauseTargetMs: TARGET_MS};
-          window = decideWindow(window, pace);
-          expect(window).toBeGreaterThanOrEqual(least);
-          expect(window).toBeLessThanOrEqual(most);
+          window = decidePromptWindow(window, pace);
+          expect(window).toBeGreaterThanOrEqual(min);
+          expect(window).toBeLessThanOrEqual(max);
         }
       }),
     );
@@ -53,7 +56,7 @@
     if (longestPauseMs <= TARGET_MS) inTime += 1;
     for (let stream = 0; stream < PROMPTS; stream++) {
       const pace = {longestPauseMs, pauseTargetMs: TARGET_MS};
-      window = decideWindow(window, pace);
+      window = decidePromptWindow(window, pace);
     }
   }
   return inTime;
--- a/packages/banyanfold-decisions/src/__tests__/decideRateLimit.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decideRateLimit.test.ts
@@ -1,21 +1,21 @@
 import {describe, expect, it} from 'vitest';
 import {
   decideRateLimit,
-  type HeardRateUse,
+  type ReceivedRateUse,
   type RateLimitView,
 } from '../limits/decideRateLimit.js';
 
-const HEARD: HeardRateUse = {
+const HEARD: ReceivedRateUse = {
   used: 8,
   askedPerSecond: 40,
   ageMs: 200,
   ownAskedPerSecond: 10,
-  untold: 0,
+  unaccounted: 0,
 };
 const VIEW: RateLimitView = {
   limitPerSecond: 2,
   ownAskedPerSecond: 10,
-  heard: HEARD,
+  fleet: HEARD,
   entries: 4,
   random: () => 0.5,
 };
@@ -34,15 +34,15 @@
   it('admits by the share that the limit is of what is asked for', () => {
     const views: Record<string, Partial<RateLimitView>> = {
       'a full window': {},
-      'an empty window': {heard: {...HEARD, used: 0}},
-      'an overfull window': {heard: {...HEARD, used: 9}},
+      'an empty window': {fleet: {...HEARD, used: 0}},
+      'an overfull window': {fleet: {...HEARD, used: 9}},
       'requests of its own that nobody has counted': {
-        heard: {...HEARD, untold: 1},
+        fleet: {...HEARD, unaccounted: 1},
       },
       'more asked for than when last heard': {ownAskedPerSecond: 30},
-      'a word that is old': {heard: {...HEARD, ageMs: 2_000}},
-      'no word': {heard: undefined},
-      'no word, in a large fleet': {heard: undefined, entries: 730},
+      'a word that is old': {fleet: {...HEARD, ageMs: 2_000}},
+      'no word': {fleet: undefined},
+      'no word, in a large fleet': {fleet: undefined, entries: 730},
       'less asked for than the limit': {limitPerSecond: 50},
     };
     const shares = Object.entries(views).map(([name, fields]) => [
--- a/packages/banyanfold-decisions/src/__tests__/organisationUsage.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/organisationUsage.test.ts
@@ -4,7 +4,11 @@
 import {OrganisationUsage} from '../usage/organisationUsage.js';
 import {usageLimitOf} from '../usage/usageLimit.js';
 import {SlidingWindow} from '../usage/slidingWindow.js';
-import {EXCHANGE_MS, playFleet, type FleetOptions} from './usageFleet.js';
+import {
+  EXCHANGE_MS,
+  simulateFleet,
+  type FleetOptions,
+} from './simulateUsage.js';
 
 const FOR_MS = 20_000;
 const WINDOW_MS = 8_000;
@@ -29,7 +33,7 @@
   seed: number,
   more: Partial<FleetOptions> = {},
 ) {
-  return playFleet({
+  return simulateFleet({
     entries: 26,
     limit: usageLimitOf({ratePerSecond, burst: ratePerSecond}, WINDOW_MS),
     meanTokens: MEAN_TOKENS,
@@ -143,7 +147,7 @@
 
   it('admits a request larger than the limit, and then waits it off', () => {
     const usage = new OrganisationUsage(true);
-    usage.tell({left: 100_000, freedPerSecond: 0, askedPerSecond: 0}, 0, 0);
+    usage.update({left: 100_000, freedPerSecond: 0, askedPerSecond: 0}, 0, 0);
     expect(usage.decide(150_000, view).kind).toBe('admit');
     // 40,000 tokens more than now are left so much later.
     expect(usage.decide(40_000, view)).toEqual({
@@ -158,33 +162,33 @@
     const atLimit = {ratePerSecond: 1e-6, perWindow: 2};
     const fleet = new FleetUsage({
       windowMs: WINDOW_MS,
-      sinceMs: 0,
+      startMs: 0,
       limitOf: () => atLimit,
-      usedBefore: () => 0,
+      initialUse: () => 0,
     });
     const usage = new OrganisationUsage(true);
     const decide = (nowMs: number) =>
       usage.decide(1, {limit: atLimit, nowMs, random: () => 0.99}).kind;
     expect(decide(0)).toBe('admit');
-    usage.noteReported(200);
-    fleet.note([{organisation: 'claims', asked: 1, used: 1}], 203);
-    usage.tell(fleet.tell(203)['claims']!, 203, 0);
+    usage.markReported(200);
+    fleet.addReports([{organisation: 'claims', asked: 1, used: 1}], 203);
+    usage.update(fleet.snapshot(203)['claims']!, 203, 0);
     expect(decide(210)).toBe('admit');
     expect(decide(220)).toBe('refuse');
   });
 
   it('takes back what was not run', () => {
     const usage = new OrganisationUsage(true);
-    usage.tell({left: 100_000, freedPerSecond: 0, askedPerSecond: 0}, 0, 0);
+    usage.update({left: 100_000, freedPerSecond: 0, askedPerSecond: 0}, 0, 0);
     usage.decide(95_000, view);
     expect(usage.decide(9_000, view).kind).toBe('refuse');
-    usage.giveBack(95_000);
+    usage.refund(95_000);
     expect(usage.decide(9_000, view).kind).toBe('admit');
   });
 
   it('goes on by the share that its callers had, once nothing is told', () => {
     const usage = new OrganisationUsage(true);
-    usage.tell(
+    usage.update(
       {left: -500_000, freedPerSecond: 10_000, askedPerSecond: 40_000},
       0,
       0,
@@ -201,7 +205,7 @@
 describe('SlidingWindow', () => {
   it('forgets amounts, whole or spread, once its length has passed', () => {
     const window = new SlidingWindow(8_000);
-    window.spread(3_200, 0);
+    window.addEvenly(3_200, 0);
     window.add(500, 1_000);
     const sums = [1_000, 4_000, 8_000, 9_000, 9_500, 60_000].map(nowMs =>
       window.sum(nowMs),
--- a/packages/banyanfold-decisions/src/__tests__/planCopies.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/planCopies.test.ts
@@ -331,7 +331,7 @@
         runnerId: 'r1',
         models: ['hot'],
         isBusy: true,
-        isSilent: true,
+        isUnresponsive: true,
         loadingModel: 'hot',
       }),
       runner({runnerId: 'r2', models: ['cold']}),
@@ -394,8 +394,8 @@
       model('b', {waiting: 1, idleMs: 0}),
     ];
     const input = {runners: [full], models, storeLoadsLeft: 1};
-    expect(planCopies({...input, mayMakeRoom: false})).toEqual([]);
-    expect(planCopies({...input, mayMakeRoom: true})).toHaveLength(1);
+    expect(planCopies({...input, canEvict: false})).toEqual([]);
+    expect(planCopies({...input, canEvict: true})).toHaveLength(1);
   });
 
   it('leaves a runner alone that is busy, and loads nothing over the rate', () => {
--- a/packages/banyanfold-decisions/src/__tests__/urgencyOf.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/priorityWeight.test.ts
@@ -1,22 +1,22 @@
 import {describe, expect, it} from 'vitest';
 import {planCopies, type CopyModel} from '../planCopies.js';
-import {urgencyOf} from '../urgencyOf.js';
+import {priorityWeight} from '../priorityWeight.js';
 
-describe('urgencyOf', () => {
+describe('priorityWeight', () => {
   it.each([
     ['the least urgent', 2, 2, 1],
     ['one step more', 1, 2, 1.5],
     ['the most urgent', 0, 2, 2],
     ['one beyond what the routes tell', 5, 2, 1],
   ])('%s', (_what, priority, leastUrgent, expected) => {
-    expect(urgencyOf(priority, leastUrgent)).toBe(expected);
+    expect(priorityWeight(priority, leastUrgent)).toBe(expected);
   });
 
   it('has the last copy of a model of urgent callers stay', () => {
     // Load: as many callers ask for a model that nobody holds as for one that has
     // its only copy, and one has to go. Alike the two would change by turns.
     const model = (name: string, priority: number): CopyModel => {
-      const requestsPerSecond = 4 * urgencyOf(priority, 2);
+      const requestsPerSecond = 4 * priorityWeight(priority, 2);
       const fields = {workPerSecond: 4, idleMs: 0, waiting: 0};
       const loads = {storeLoadMs: 500, weightsMb: 70};
       return {name, requestsPerSecond, ...fields, ...loads};
--- a/packages/banyanfold-decisions/src/__tests__/usageFleet.ts
+++ b/packages/banyanfold-decisions/src/__tests__/simulateUsage.ts
@@ -1,7 +1,7 @@
 import {FleetUsage, type UsageReport} from '../usage/fleetUsage.js';
 import {
   OrganisationUsage,
-  type FleetUsageTold,
+  type FleetUsageSnapshot,
 } from '../usage/organisationUsage.js';
 import type {UsageLimit} from '../usage/usageLimit.js';
 import {SlidingWindow} from '../usage/slidingWindow.js';
@@ -52,17 +52,17 @@
 const WINDOW_MS = 8_000;
 
 /** Plays one organisation's load at entries that report to one holder. */
-export function playFleet(options: FleetOptions): FleetOutcome {
+export function simulateFleet(options: FleetOptions): FleetOutcome {
   const {entries: count, limit, forMs, random, skew = 0} = options;
   const {isCut = () => false, restarts = () => false} = options;
   const {burst, isRelayed = false} = options;
   const late: Array<{atMs: number; report: UsageReport}> = [];
-  const words: Array<{atMs: number; told: FleetUsageTold | undefined}> = [];
+  const words: Array<{atMs: number; told: FleetUsageSnapshot | undefined}> = [];
   const fleet = new FleetUsage({
     windowMs: WINDOW_MS,
-    sinceMs: 0,
+    startMs: 0,
     limitOf: () => limit,
-    usedBefore: () => 0,
+    initialUse: () => 0,
   });
   const start = (isUnused: boolean): Entry => ({
     usage: new OrganisationUsage(isUnused),
@@ -90,17 +90,17 @@
       // The relay passes on what it was told an exchange before.
       late.push({atMs: nowMs + (isRelayed ? EXCHANGE_MS : 0), report});
       while (late.length > 0 && late[0]!.atMs <= nowMs) {
-        fleet.note([late.shift()!.report], nowMs);
+        fleet.addReports([late.shift()!.report], nowMs);
       }
       const untold = isRelayed ? entry.used : 0;
       entry.asked = 0;
       entry.used = 0;
-      entry.usage.noteReported(nowMs);
+      entry.usage.markReported(nowMs);
       const wordMs = isRelayed ? nowMs - EXCHANGE_MS : nowMs;
-      words.push({atMs: nowMs, told: fleet.tell(nowMs)[ORGANISATION]});
+      words.push({atMs: nowMs, told: fleet.snapshot(nowMs)[ORGANISATION]});
       while (words.length > 1 && words[1]!.atMs <= wordMs) words.shift();
       const [{atMs, told} = {atMs: nowMs, told: undefined}] = words;
-      if (told) entry.usage.tell(told, atMs, untold);
+      if (told) entry.usage.update(told, atMs, untold);
     }
     const factor = burst && nowMs >= burst.fromMs ? burst.factor : 1;
     let due = perStep * factor;
--- a/packages/banyanfold-decisions/src/chooseRelays.ts
+++ b/packages/banyanfold-decisions/src/chooseRelays.ts
@@ -1,4 +1,4 @@
-import {rankOf, spreadOrder} from './spreadOrder.js';
+import {hashRank, rankByWeight} from './rankByWeight.js';
 
 /** An entry that could pass the holder's word on to others. */
 export interface RelayCandidate {
@@ -13,24 +13,24 @@
    * Up to so many entries all ask the holder itself: the word is fresher by one
    * exchange, and one answer takes it 1 ms of a processor.
    */
-  directEntries: number;
+  maxDirectEntries: number;
   /**
    * Entries that share one relay. Near the root of the entries that are designed
    * for, 730, so that the holder and a relay hear from about as many.
    */
-  groupSize: number;
+  entriesPerRelay: number;
   /** A relay stays unless another entry has this many times its processor. */
-  keepFactor: number;
+  hysteresisFactor: number;
 }
 
 export const DEFAULT_CHOOSE_RELAYS_OPTIONS: ChooseRelaysOptions = {
-  directEntries: 8,
-  groupSize: 16,
-  keepFactor: 1.5,
+  maxDirectEntries: 8,
+  entriesPerRelay: 16,
+  hysteresisFactor: 1.5,
 };
 
 /** Addresses of the relays, by failure domain; none where all ask the holder. */
-export type Relays = ReadonlyMap<string, readonly string[]>;
+export type RelaysByDomain = ReadonlyMap<string, readonly string[]>;
 
 /**
  * The entries through which the others of their failure domain speak with the
@@ -51,18 +51,20 @@
 export function chooseRelays(
   entries: readonly RelayCandidate[],
   holder: string,
-  before: Relays,
+  before: RelaysByDomain,
   options: ChooseRelaysOptions = DEFAULT_CHOOSE_RELAYS_OPTIONS,
-): Relays {
+): RelaysByDomain {
   const relays = new Map<string, readonly string[]>();
-  if (entries.length <= options.directEntries) return relays;
+  if (entries.length <= options.maxDirectEntries) return relays;
   for (const [domain, members] of byDomain(entries)) {
     const others = members.filter(({address}) => address !== holder);
     // A relay for itself alone would only be one stop more.
     if (others.length < 2) continue;
-    const count = Math.ceil(others.length / options.groupSize);
+    const count = Math.ceil(others.length / options.entriesPerRelay);
     const kept = new Set(before.get(domain));
-    const ranked = spreadOrder(others, entry => weightOf(entry, kept, options));
+    const ranked = rankByWeight(others, entry =>
+      weightOf(entry, kept, options),
+    );
     relays.set(
       domain,
       ranked.slice(0, count).map(({address}) => address),
@@ -86,7 +88,7 @@
   let best: string | undefined;
   let bestRank = '';
   for (const relay of relays) {
-    const rank = rankOf(`${entry}\n${relay}`);
+    const rank = hashRank(`${entry}\n${relay}`);
     if (rank > bestRank) [best, bestRank] = [relay, rank];
   }
   return best;
@@ -95,9 +97,9 @@
 function weightOf(
   {address, processorShare}: RelayCandidate,
   kept: ReadonlySet<string>,
-  {keepFactor}: ChooseRelaysOptions,
+  {hysteresisFactor}: ChooseRelaysOptions,
 ): number {
-  return kept.has(address) ? processorShare * keepFactor : processorShare;
+  return kept.has(address) ? processorShare * hysteresisFactor : processorShare;
 }
 
 function byDomain(
--- a/packages/banyanfold-decisions/src/chooseRunner.ts
+++ b/packages/banyanfold-decisions/src/chooseRunner.ts
@@ -1,7 +1,7 @@
-import {rankOf} from './spreadOrder.js';
+import {hashRank} from './rankByWeight.js';
 
 /** One runner that could take a request. */
-export interface RunnerChoice {
+export interface RunnerCandidate {
   runnerId: string;
   failureDomain: string;
   /** Work open there, in the unit of the caller's choice. */
@@ -21,7 +21,7 @@
 }
 
 /** What comes before the entries hear of each other's requests. */
-export interface ComingFlow {
+export interface ConcurrentArrivals {
   /** Work for the same runners, of all entries. */
   work: number;
   /** Uniform in [0, 1). */
@@ -54,7 +54,7 @@
   reason: 'affinity' | 'least-work';
 }
 
-const NO_FLOW: ComingFlow = {work: 0, random: () => 0};
+const NO_FLOW: ConcurrentArrivals = {work: 0, random: () => 0};
 
 /**
  * Chooses a runner by prefix affinity with bounded load. All entries rank the
@@ -81,10 +81,10 @@
  * chooseRunner(choices, {key: 'm1/5c1e', sharedWork: 6.3}, 'hall-a')?.runnerId
  */
 export function chooseRunner(
-  choices: readonly RunnerChoice[],
+  choices: readonly RunnerCandidate[],
   affinity: Affinity | undefined,
   failureDomain: string,
-  flow: ComingFlow = NO_FLOW,
+  flow: ConcurrentArrivals = NO_FLOW,
   options: ChooseRunnerOptions = DEFAULT_CHOOSE_RUNNER_OPTIONS,
 ): ChosenRunner | undefined {
   const sound = choices.filter(choice => !choice.isSuspect);
@@ -94,7 +94,7 @@
     const ranked = candidates
       .map(choice => ({
         choice,
-        rank: rankOf(`${affinity.key}\n${choice.runnerId}`),
+        rank: hashRank(`${affinity.key}\n${choice.runnerId}`),
         isOwnDomain: choice.failureDomain === failureDomain,
         cost: costOf(choice, options),
       }))
@@ -107,7 +107,7 @@
       );
     const costs = ranked.map(({cost}) => cost);
     const bound =
-      levelOf(costs, flow.work) + affinity.sharedWork + options.slackWork;
+      waterLevel(costs, flow.work) + affinity.sharedWork + options.slackWork;
     const first =
       ranked.find(({cost}) => isTaken(bound - cost, costs.length, flow)) ??
       ranked.reduce((least, each) => (each.cost < least.cost ? each : least));
@@ -120,10 +120,10 @@
 
 /** The candidates of least cost, which may be several. */
 function leastOf(
-  candidates: readonly RunnerChoice[],
+  candidates: readonly RunnerCandidate[],
   failureDomain: string,
   options: ChooseRunnerOptions,
-): RunnerChoice[] {
+): RunnerCandidate[] {
   const costs = candidates.map(
     choice =>
       costOf(choice, options) +
@@ -134,7 +134,11 @@
 }
 
 /** Whether a runner with so much room takes its share of the flow, or part of it. */
-function isTaken(room: number, runners: number, flow: ComingFlow): boolean {
+function isTaken(
+  room: number,
+  runners: number,
+  flow: ConcurrentArrivals,
+): boolean {
   if (room < 0) return false;
   const share = flow.work / runners;
   return room >= share || flow.random() * share < room;
@@ -143,9 +147,9 @@
 /**
  * The load to which work fills the least loaded of several, all to one height.
  *
- * @example levelOf([0, 10, 50], 20) // 15
+ * @example waterLevel([0, 10, 50], 20) // 15
  */
-export function levelOf(loads: readonly number[], work: number): number {
+export function waterLevel(loads: readonly number[], work: number): number {
   const sorted = [...loads].sort((a, b) => a - b);
   let filled = work;
   for (const [i, load] of sorted.entries()) {
@@ -156,6 +160,6 @@
   return 0;
 }
 
-function costOf(choice: RunnerChoice, options: ChooseRunnerOptions): number {
+function costOf(choice: RunnerCandidate, options: ChooseRunnerOptions): number {
   return choice.openWork + (choice.hasAdapter ? 0 : options.adapterFetchWork);
 }
--- a/packages/banyanfold-decisions/src/chooseStandbys.ts
+++ b/packages/banyanfold-decisions/src/chooseStandbys.ts
@@ -1,4 +1,4 @@
-import {spreadOrder} from './spreadOrder.js';
+import {rankByWeight} from './rankByWeight.js';
 
 /** An entry that could give orders. */
 export interface StandbyCandidate {
@@ -18,12 +18,12 @@
    * The holder keeps the lease unless another entry has this many times its
    * processor: a change of holder costs some seconds without orders.
    */
-  keepFactor: number;
+  hysteresisFactor: number;
 }
 
 export const DEFAULT_CHOOSE_STANDBYS_OPTIONS: ChooseStandbysOptions = {
   count: 6,
-  keepFactor: 1.5,
+  hysteresisFactor: 1.5,
 };
 
 /**
@@ -45,11 +45,12 @@
   holder: string,
   options: ChooseStandbysOptions = DEFAULT_CHOOSE_STANDBYS_OPTIONS,
 ): ReadonlySet<string> {
-  const ranked = spreadOrder(entries, ({processorShare}) => processorShare);
+  const ranked = rankByWeight(entries, ({processorShare}) => processorShare);
   const largest = ranked[0]?.processorShare ?? 0;
   const own = entries.find(({address}) => address === holder);
   const keeps =
-    own !== undefined && own.processorShare * options.keepFactor > largest;
+    own !== undefined &&
+    own.processorShare * options.hysteresisFactor > largest;
   const others = ranked.filter(({address}) => address !== holder);
   const chosen = others.slice(0, options.count - (keeps ? 1 : 0));
   const standbys = new Set(chosen.map(({address}) => address));
--- a/packages/banyanfold-decisions/src/copies/copyMoves.ts
+++ b/packages/banyanfold-decisions/src/copies/copyMoves.ts
@@ -90,7 +90,8 @@
     const isNear = inMemory.includes(model.name) || onDisk.includes(model.name);
     if (!isNear && storeLoadsLeft < 1) return undefined;
     const nearMs =
-      loadMsOf(model, to) + (to.runner.isSilent ? this.options.silentMs : 0);
+      loadMsOf(model, to) +
+      (to.runner.isUnresponsive ? this.options.unresponsivePenaltyMs : 0);
     // What makes way only adds to the cost, and takes most of the time to find.
     const most = this.savedBy(model, to, {readyMs: nearMs, needsRoom: false});
     if (most.saved < this.options.minGain) return undefined;
@@ -99,13 +100,13 @@
     const readyMs = victims.waitMs + nearMs;
     const needsRoom = victims.models.length > 0;
     const {saved, reason} = this.savedBy(model, to, {readyMs, needsRoom});
-    const {minGainOverLoss, blockedPerSecond} = this.options;
-    const blocked = (victims.waitMs * blockedPerSecond) / MS_PER_SECOND;
+    const {minGainToLossRatio, unloadWaitCostPerSecond} = this.options;
+    const blocked = (victims.waitMs * unloadWaitCostPerSecond) / MS_PER_SECOND;
     const price = blocked + (isNear ? 0 : this.storeLoadCost(reason));
     const gain = saved + this.domainGain(model, to) - price - victims.loss;
     const minGain = this.minGainFor(model, needsRoom);
     if (saved - price - victims.loss < minGain) return undefined;
-    if (saved < victims.loss * minGainOverLoss) return undefined;
+    if (saved < victims.loss * minGainToLossRatio) return undefined;
     return {
       model,
       to,
@@ -123,9 +124,9 @@
   }
 
   private minGainFor({name}: CopyModel, needsRoom: boolean): number {
-    const {minGain, minGainOverComing} = this.options;
+    const {minGain, minGainWhilePending} = this.options;
     const isComing = this.fleet.comingCopies(name) > 0;
-    return isComing && needsRoom ? minGainOverComing : minGain;
+    return isComing && needsRoom ? minGainWhilePending : minGain;
   }
 
   /** Spares the look at every runner for what no copy could save enough of. */
@@ -181,7 +182,7 @@
 
   private domainGain({name}: CopyModel, {runner}: PlannedRunner): number {
     const isSecond = this.fleet.isInDomain(name, runner.failureDomain);
-    return isSecond ? 0 : this.options.otherDomainGain;
+    return isSecond ? 0 : this.options.newDomainGain;
   }
 }
 
--- a/packages/banyanfold-decisions/src/copies/copyVictims.ts
+++ b/packages/banyanfold-decisions/src/copies/copyVictims.ts
@@ -92,22 +92,22 @@
 
   /** An unload waits for the longest of the runs under way. */
   private unloadMs(victim: CopyModel, {runner}: PlannedRunner): number {
-    const {quietMs, runMs} = this.options;
-    const isIdle = victim.idleMs >= quietMs;
+    const {idleThresholdMs, runDurationMs} = this.options;
+    const isIdle = victim.idleMs >= idleThresholdMs;
     const runs = runner.inUse
       ? (runner.inUse[victim.name] ?? 0)
       : isIdle
         ? 0
         : 1;
-    return runs === 0 ? 0 : runMs * (1 + Math.log(runs));
+    return runs === 0 ? 0 : runDurationMs * (1 + Math.log(runs));
   }
 
   /** Callers lost by a move of demand to a model that nobody holds. */
   private insuranceOf(victim: CopyModel, at: PlannedRunner): number {
     const reloadMs = loadMsOf(victim, at);
-    const {shiftShare} = this.options;
+    const {demandShiftShare} = this.options;
     const {requestsPerSecond, models} = this.fleet;
-    const moved = (requestsPerSecond * shiftShare) / models.size;
+    const moved = (requestsPerSecond * demandShiftShare) / models.size;
     return (moved * reloadMs) / MS_PER_SECOND;
   }
 
--- a/packages/banyanfold-decisions/src/copies/fleetCopies.ts
+++ b/packages/banyanfold-decisions/src/copies/fleetCopies.ts
@@ -111,11 +111,11 @@
    * while 16 of 26 had none.
    */
   private lostCallers({work, requests, running}: RunnerLoad, slots: number) {
-    const {runnerWork, fullWork, lateWeight} = this.options;
-    const square = (work / runnerWork) ** 2;
+    const {halfLateWork, maxWork, lateWeight} = this.options;
+    const square = (work / halfLateWork) ** 2;
     const late = (lateWeight * square) / (1 + square);
     const places = Math.max(1, slots);
-    const excess = Math.max(1, work / fullWork, running / places);
+    const excess = Math.max(1, work / maxWork, running / places);
     const unserved = 1 - 1 / excess;
     return requests * (unserved + (1 - unserved) * late);
   }
@@ -163,8 +163,9 @@
   }
 
   private arrivingOverHorizon(model: CopyModel): number {
-    const {horizonMs, returnShare} = this.options;
-    const returning = (model.usualRequestsPerSecond ?? 0) * returnShare;
+    const {horizonMs, demandReturnShare} = this.options;
+    const returning =
+      (model.longTermRequestsPerSecond ?? 0) * demandReturnShare;
     const perSecond = Math.max(model.requestsPerSecond, returning);
     return (perSecond * horizonMs) / MS_PER_SECOND;
   }
@@ -241,7 +242,7 @@
       at.freeMb -= this.models.get(name)?.weightsMb ?? 0;
       const isLoading = name === loadingModel;
       // One that may never come keeps its memory, and nobody waits for it.
-      if (isLoading && runner.isSilent) continue;
+      if (isLoading && runner.isUnresponsive) continue;
       this.hold(at, name);
       if (!isLoading) {
         this.serving.set(name, this.servingCopies(name) + 1);
@@ -295,12 +296,12 @@
  * do, and what was asked as often for long is as sure.
  */
 function withSureRate(model: CopyModel, options: PlanCopiesOptions): CopyModel {
-  const {requestsPerSecond, usualRequestsPerSecond = 0} = model;
+  const {requestsPerSecond, longTermRequestsPerSecond = 0} = model;
   if (requestsPerSecond === 0) return model;
   const {smoothingMs, priorRequests} = options;
   const seen = (requestsPerSecond * smoothingMs) / MS_PER_SECOND;
   const sure = (requestsPerSecond * seen) / (seen + priorRequests);
-  const steady = Math.min(requestsPerSecond, usualRequestsPerSecond);
+  const steady = Math.min(requestsPerSecond, longTermRequestsPerSecond);
   const rate = Math.max(sure, steady);
   const share = rate / requestsPerSecond;
   return {
--- a/packages/banyanfold-decisions/src/copies/types.ts
+++ b/packages/banyanfold-decisions/src/copies/types.ts
@@ -10,7 +10,7 @@
   /** It carries out an order; it takes no other one until it is done. */
   isBusy: boolean;
   /** An order of the last seconds got no answer: it may be about to go. */
-  isSilent?: boolean;
+  isUnresponsive?: boolean;
   /** Requests that run at once; without it any number does. */
   slots?: number;
   /** Requests under way there, by model; without it idle times tell. */
@@ -38,7 +38,7 @@
   /** Smoothed requests a second, likewise. */
   requestsPerSecond: number;
   /** The same over a longer time: demand that left may return. */
-  usualRequestsPerSecond?: number;
+  longTermRequestsPerSecond?: number;
   /** Requests that wait for a copy, or for a place for their adapter, now. */
   waiting: number;
   /** Since the last request for it. */
@@ -51,7 +51,7 @@
   /** Loads that the weight store allows now. */
   storeLoadsLeft: number;
   /** False while demand has been heard of too shortly to give copies up for it. */
-  mayMakeRoom?: boolean;
+  canEvict?: boolean;
 }
 
 export interface CopyOrder {
@@ -77,13 +77,13 @@
    * Work a second, in thousands of prompt tokens of the largest model, at which
    * half of a runner's callers get a late answer: engines read 38 to 41 thousand.
    */
-  runnerWork: number;
+  halfLateWork: number;
   /**
    * Work a second that a runner gets through; what comes beyond isn't served.
    * Twice what engines read: half of the prompts asked for was kept from before,
    * over a busy day of 26 runners.
    */
-  fullWork: number;
+  maxWork: number;
   /** What a late answer counts against one that is not given at all. */
   lateWeight: number;
   /**
@@ -91,25 +91,25 @@
    * the longest of them: with 30 streams of some 2 s it took up to 10 s, in
    * which the runner took no other order.
    */
-  runMs: number;
+  runDurationMs: number;
   /** Without a request for this long no run keeps an unload waiting, in ms. */
-  quietMs: number;
+  idleThresholdMs: number;
   /**
    * Share of all demand that moves to other models within the horizon, to any of
    * them alike; a last copy is worth so many callers for each second of a load.
    * With a tenth for each model, whatever their number, 76 rare ones kept the
    * memory of 26 runners while 20 prompts a second went to one copy.
    */
-  shiftShare: number;
+  demandShiftShare: number;
   /** A runner that left an order unanswered is taken for so much slower, in ms. */
-  silentMs: number;
+  unresponsivePenaltyMs: number;
   /** Callers lost for each second in which an unload keeps a runner's orders. */
-  blockedPerSecond: number;
+  unloadWaitCostPerSecond: number;
   /**
    * A copy in place of another one, of a model that one is on its way for, must
    * save so many callers: four of a rare model were begun within 0.3 s.
    */
-  minGainOverComing: number;
+  minGainWhilePending: number;
   /** Smoothed rates look back so far, in ms. */
   smoothingMs: number;
   /**
@@ -119,17 +119,17 @@
    */
   priorRequests: number;
   /** Share of the usual demand that may return within the horizon; reasoned. */
-  returnShare: number;
+  demandReturnShare: number;
   /** A move must save so many callers over the horizon, and more. */
   minGain: number;
   /** A move that takes a copy away must gain so many times what that loses. */
-  minGainOverLoss: number;
+  minGainToLossRatio: number;
   /** Callers that a load from the weight store must save besides. */
   storeLoadCost: number;
   /** The same for a load that only relieves runners: loads have a price. */
   storeReliefCost: number;
   /** Callers that a copy in another failure domain is worth: it outlives one. */
-  otherDomainGain: number;
+  newDomainGain: number;
   /**
    * So many requests that wait although runners hold their model are worth one
    * copy more: the places for its adapters there are all in use. One runner was
@@ -141,7 +141,7 @@
    * none while nobody waits; three stand the loss of a runner and one more that
    * is being emptied.
    */
-  keptCopies: number;
+  protectedCopies: number;
   /**
    * Only a model whose load takes longer, in ms, is brought in place of another
    * in advance: callers of rare models wait 2.5 s and more.
@@ -151,24 +151,24 @@
 
 export const DEFAULT_PLAN_COPIES_OPTIONS: PlanCopiesOptions = {
   horizonMs: 10_000,
-  runnerWork: 40,
-  fullWork: 80,
+  halfLateWork: 40,
+  maxWork: 80,
   lateWeight: 0.7,
-  runMs: 2_000,
-  quietMs: 1_500,
-  shiftShare: 0.5,
-  silentMs: 2_000,
-  blockedPerSecond: 0.5,
-  minGainOverComing: 5,
+  runDurationMs: 2_000,
+  idleThresholdMs: 1_500,
+  demandShiftShare: 0.5,
+  unresponsivePenaltyMs: 2_000,
+  unloadWaitCostPerSecond: 0.5,
+  minGainWhilePending: 5,
   smoothingMs: 1_500,
   priorRequests: 2,
-  returnShare: 0.05,
+  demandReturnShare: 0.05,
   minGain: 0.4,
-  minGainOverLoss: 1.3,
+  minGainToLossRatio: 1.3,
   storeLoadCost: 0.1,
   storeReliefCost: 4,
-  otherDomainGain: 0.3,
+  newDomainGain: 0.3,
   waitingPerCopy: 4,
-  keptCopies: 3,
+  protectedCopies: 3,
   slowLoadMs: 2_000,
 };
--- a/packages/banyanfold-decisions/src/crashes/judgeCrashes.ts
+++ b/packages/banyanfold-decisions/src/crashes/attributeCrashes.ts
@@ -1,5 +1,5 @@
 /** What is known of one request that was at runners when they crashed. */
-export interface CrashRow {
+export interface CrashHistory {
   fingerprint: string;
   /** The lives of runners that crashed while they had it. */
   crashes: ReadonlySet<string>;
@@ -8,7 +8,7 @@
   /** Runs by itself of which nothing is known: neither answered nor crashed. */
   unresolvedTrials: number;
   /** Found guilty before; the crashes that proved it may be forgotten. */
-  isKnownGuilty: boolean;
+  hasPriorQuarantine: boolean;
 }
 
 /**
@@ -17,7 +17,7 @@
  */
 export type CrashVerdict = 'suspect' | 'quarantined';
 
-export interface JudgeCrashesOptions {
+export interface AttributeCrashesOptions {
   /** From so many on a request is a suspect. */
   suspectCrashes: number;
   /** From so many on it may be put into quarantine. */
@@ -31,7 +31,7 @@
  * the third run is watched already, and of the three that are left two may end
  * without a result.
  */
-export const JUDGE_CRASHES_OPTIONS: JudgeCrashesOptions = {
+export const DEFAULT_ATTRIBUTE_CRASHES_OPTIONS: AttributeCrashesOptions = {
   suspectCrashes: 2,
   quarantineCrashes: 3,
   maxUnresolvedTrials: 2,
@@ -52,15 +52,15 @@
  * @param isSettled whether all entries have told by now who was at a runner.
  * @returns by fingerprint; those that run like all others are left out.
  * @example
- * judgeCrashes([{fingerprint: 'a', crashes: new Set(['r1', 'r2', 'r3']),
- *   hasCrashedAlone: true, unresolvedTrials: 0, isKnownGuilty: false}],
+ * attributeCrashes([{fingerprint: 'a', crashes: new Set(['r1', 'r2', 'r3']),
+ *   hasCrashedAlone: true, unresolvedTrials: 0, hasPriorQuarantine: false}],
  *   () => true)
  * // Map {'a' => 'quarantined'}
  */
-export function judgeCrashes(
-  rows: Iterable<CrashRow>,
+export function attributeCrashes(
+  rows: Iterable<CrashHistory>,
   isSettled: (life: string) => boolean,
-  options: JudgeCrashesOptions = JUDGE_CRASHES_OPTIONS,
+  options: AttributeCrashesOptions = DEFAULT_ATTRIBUTE_CRASHES_OPTIONS,
 ): Map<string, CrashVerdict> {
   const byCrashes = [...rows].sort(
     (a, b) =>
@@ -71,7 +71,7 @@
   for (const row of byCrashes) {
     const left = [...row.crashes].filter(life => !explained.has(life));
     const settled = left.filter(isSettled);
-    if (row.isKnownGuilty || isToBlame(row, settled, byCrashes, options)) {
+    if (row.hasPriorQuarantine || isToBlame(row, settled, byCrashes, options)) {
       verdicts.set(row.fingerprint, 'quarantined');
       for (const life of row.crashes) explained.add(life);
     } else if (left.length >= options.suspectCrashes) {
@@ -82,10 +82,10 @@
 }
 
 function isToBlame(
-  row: CrashRow,
+  row: CrashHistory,
   crashes: readonly string[],
-  rows: readonly CrashRow[],
-  {quarantineCrashes, maxUnresolvedTrials}: JudgeCrashesOptions,
+  rows: readonly CrashHistory[],
+  {quarantineCrashes, maxUnresolvedTrials}: AttributeCrashesOptions,
 ): boolean {
   if (crashes.length < quarantineCrashes) return false;
   if (row.unresolvedTrials >= maxUnresolvedTrials) return true;
--- a/packages/banyanfold-decisions/src/crashes/decideTrial.ts
+++ b/packages/banyanfold-decisions/src/crashes/decideTrial.ts
@@ -4,13 +4,13 @@
   /** Crashes under it, by which those that asked lately are put in order. */
   crashes: number;
   /** It may be found guilty as soon as all have told of the last crash. */
-  isBeingJudged: boolean;
+  isVerdictPending: boolean;
   /** Where it could run, the best one first. */
   runnerIds: readonly string[];
   /** Trials under way: the runner of each, by fingerprint. */
-  underWay: ReadonlyMap<string, string>;
+  activeTrials: ReadonlyMap<string, string>;
   /** Crashes under each other suspect that asked lately and isn't tried now. */
-  othersCrashes: readonly number[];
+  otherCrashCounts: readonly number[];
 }
 
 export type TrialDecision =
@@ -29,19 +29,20 @@
  * Answers the load of dozens of suspects that were at the same two runners.
  *
  * @example
- * decideTrial({fingerprint: 'a', crashes: 2, isBeingJudged: false,
- *   runnerIds: ['r1', 'r2'], underWay: new Map([['b', 'r1']]),
- *   othersCrashes: []})
+ * decideTrial({fingerprint: 'a', crashes: 2, isVerdictPending: false,
+ *   runnerIds: ['r1', 'r2'], activeTrials: new Map([['b', 'r1']]),
+ *   otherCrashCounts: []})
  * // {kind: 'run', runnerId: 'r2'}
  */
 export function decideTrial(view: TrialView): TrialDecision {
-  const {fingerprint, crashes, runnerIds, underWay, othersCrashes} = view;
-  if (underWay.has(fingerprint)) return {kind: 'wait', reason: 'under-way'};
-  if (view.isBeingJudged) return {kind: 'wait', reason: 'being-judged'};
-  if (othersCrashes.some(others => others > crashes)) {
+  const {fingerprint, crashes, runnerIds, activeTrials, otherCrashCounts} =
+    view;
+  if (activeTrials.has(fingerprint)) return {kind: 'wait', reason: 'under-way'};
+  if (view.isVerdictPending) return {kind: 'wait', reason: 'being-judged'};
+  if (otherCrashCounts.some(others => others > crashes)) {
     return {kind: 'wait', reason: 'others-first'};
   }
-  const taken = new Set(underWay.values());
+  const taken = new Set(activeTrials.values());
   const runnerId = runnerIds.find(id => !taken.has(id));
   if (runnerId === undefined) return {kind: 'wait', reason: 'runners-taken'};
   return {kind: 'run', runnerId};
--- a/packages/banyanfold-decisions/src/decidePlacement.ts
+++ b/packages/banyanfold-decisions/src/decidePlacement.ts
@@ -1,7 +1,7 @@
 import {DEFAULT_PLACEMENT_OPTIONS, type PlacementOptions} from './options.js';
 import {changeRole} from './placement/changeRole.js';
-import {FULL_LOAD, growHot} from './placement/growHot.js';
-import {isAskedFor, placeOrphans} from './placement/placeOrphans.js';
+import {FULL_LOAD, addHotCopies} from './placement/addHotCopies.js';
+import {isRequested, placeOrphans} from './placement/placeOrphans.js';
 import {PlacementPlan} from './placement/placementPlan.js';
 import type {PlacementDecision, PlacementView} from './types.js';
 
@@ -27,14 +27,14 @@
     allowedLoads(view, nowMs, options),
     options,
   );
-  const askedForWait = placeOrphans(plan, options, isAskedFor);
+  const blocked = placeOrphans(plan, options, isRequested);
   // Callers are refused at an overloaded runner, while nobody asks for the
   // other orphans yet. Turn about, so that neither keeps the other waiting.
-  if (!askedForWait && isOverloadTurn(nowMs)) growHot(plan, options, FULL_LOAD);
-  const orphansWait = placeOrphans(plan, options, o => !isAskedFor(o));
+  if (!blocked && isOverloadTurn(nowMs)) addHotCopies(plan, options, FULL_LOAD);
+  const othersBlocked = placeOrphans(plan, options, o => !isRequested(o));
   // An extra copy would take the memory that is being released for an orphan,
   // which would stay out of reach while others are retired for it in turn.
-  if (!orphansWait) growHot(plan, options, options.highUtilization);
+  if (!othersBlocked) addHotCopies(plan, options, options.highUtilization);
   changeRole(plan, nowMs, options);
   return {moves: plan.moves, unplaced: plan.unplaced};
 }
--- a/packages/banyanfold-decisions/src/decideWindow.ts
+++ b/packages/banyanfold-decisions/src/decidePromptWindow.ts
@@ -6,24 +6,24 @@
   pauseTargetMs: number;
 }
 
-export interface WindowOptions {
+export interface PromptWindowOptions {
   /** Prompts that one entry may always have unread at a runner. */
-  least: number;
-  most: number;
+  min: number;
+  max: number;
   /** After a stream with too long a pause the window shrinks to this share. */
-  shrinkTo: number;
+  decreaseTo: number;
   /**
    * After one in time it grows by so many prompts. With 0.03 against a tenth, one
    * stream in eight is late where the window stays, at two prompts.
    */
-  growBy: number;
+  increaseBy: number;
 }
 
-export const DEFAULT_WINDOW_OPTIONS: WindowOptions = {
-  least: 1,
-  most: 64,
-  shrinkTo: 0.9,
-  growBy: 0.03,
+export const DEFAULT_PROMPT_WINDOW_OPTIONS: PromptWindowOptions = {
+  min: 1,
+  max: 64,
+  decreaseTo: 0.9,
+  increaseBy: 0.03,
 };
 
 /**
@@ -36,14 +36,14 @@
  * out, the same prompts hold each step up for less.
  *
  * @param window the number before, a fraction of a prompt included.
- * @example decideWindow(4, {longestPauseMs: 300, pauseTargetMs: 150}) // 3.6
+ * @example decidePromptWindow(4, {longestPauseMs: 300, pauseTargetMs: 150}) // 3.6
  */
-export function decideWindow(
+export function decidePromptWindow(
   window: number,
   {longestPauseMs, pauseTargetMs}: StreamPace,
-  options: WindowOptions = DEFAULT_WINDOW_OPTIONS,
+  options: PromptWindowOptions = DEFAULT_PROMPT_WINDOW_OPTIONS,
 ): number {
-  const {least, most, shrinkTo, growBy} = options;
-  if (longestPauseMs > pauseTargetMs) return Math.max(least, window * shrinkTo);
-  return Math.min(most, window + growBy);
+  const {min, max, decreaseTo, increaseBy} = options;
+  if (longestPauseMs > pauseTargetMs) return Math.max(min, window * decreaseTo);
+  return Math.min(max, window + increaseBy);
 }
--- a/packages/banyanfold-decisions/src/decideSend.ts
+++ b/packages/banyanfold-decisions/src/decideSend.ts
@@ -17,7 +17,7 @@
 
 export interface SendOptions {
   /** Less work than this, two long prompts, is no queue. */
-  minWork: number;
+  minQueuedWork: number;
   /**
    * Of the caller's time a wait may take this share; the rest is for the stream.
    * An answer after its target is still worth something, and a caller that is
@@ -26,16 +26,16 @@
    */
   maxWaitShare: number;
   /** A run holds its place for so long, in ms: streams of today take 1 to 3 s. */
-  runMs: number;
+  runDurationMs: number;
   minRetryAfterMs: number;
   /** Callers heed a time to come back up to this share of what they have left. */
   maxRetryAfterShare: number;
 }
 
 export const DEFAULT_SEND_OPTIONS: SendOptions = {
-  minWork: 20,
+  minQueuedWork: 20,
   maxWaitShare: 0.7,
-  runMs: 2_000,
+  runDurationMs: 2_000,
   minRetryAfterMs: 300,
   maxRetryAfterShare: 0.3,
 };
@@ -82,11 +82,11 @@
 
 function readWaitOf(view: SendView, options: SendOptions): number {
   const {workAhead, workPerSecond} = view;
-  if (workAhead < options.minWork) return 0;
+  if (workAhead < options.minQueuedWork) return 0;
   return (workAhead * MS_PER_SECOND) / Math.max(workPerSecond, 1);
 }
 
 function placeWaitOf(view: SendView, options: SendOptions): number {
   const {openRequests = 0, slots = Number.POSITIVE_INFINITY} = view;
-  return (Math.max(0, openRequests - slots) / slots) * options.runMs;
+  return (Math.max(0, openRequests - slots) / slots) * options.runDurationMs;
 }
--- a/packages/banyanfold-decisions/src/limits/decideRateLimit.ts
+++ b/packages/banyanfold-decisions/src/limits/decideRateLimit.ts
@@ -7,12 +7,12 @@
 }
 
 /** The fleet's use as one entry last heard it. */
-export interface HeardRateUse extends FleetRateUse {
+export interface ReceivedRateUse extends FleetRateUse {
   ageMs: number;
   /** What this entry was asked for at that time, which is part of it. */
   ownAskedPerSecond: number;
   /** Sent by this entry and not in `used`. */
-  untold: number;
+  unaccounted: number;
 }
 
 /** What an entry decides by. */
@@ -22,7 +22,7 @@
   /** Requests that want the runner at this entry, this one included. */
   ownAskedPerSecond: number;
   /** Undefined while the holder has told nothing. */
-  heard?: HeardRateUse;
+  fleet?: ReceivedRateUse;
   /** Entries at work, this one included. */
   entries: number;
   /** Uniform in [0, 1). */
@@ -33,23 +33,23 @@
   /** The span over which use is summed up. */
   windowMs: number;
   /** What was heard counts this long; three exchanges may be lost. */
-  freshMs: number;
+  maxAgeMs: number;
   /** How strongly the rate answers a window that is less or more than full. */
   gain: number;
   /** With so many times the limit in the window nothing more is sent. */
-  fullShare: number;
+  maxFillRatio: number;
   /** Of the limit, what is used by entries that hear nothing of each other. */
-  unheardShare: number;
+  uncoordinatedShare: number;
   /** Requests a second of this entry below which a growth of them is noise. */
   noisePerSecond: number;
 }
 
 export const DEFAULT_RATE_LIMIT_OPTIONS: RateLimitOptions = {
   windowMs: 4_000,
-  freshMs: 1_500,
+  maxAgeMs: 1_500,
   gain: 1,
-  fullShare: 1.1,
-  unheardShare: 0.8,
+  maxFillRatio: 1.1,
+  uncoordinatedShare: 0.8,
   noisePerSecond: 4,
 };
 
@@ -69,7 +69,8 @@
  *
  * @example
  * decideRateLimit({limitPerSecond: 2, ownAskedPerSecond: 8, entries: 1,
- *   heard: {used: 8, askedPerSecond: 8, ageMs: 0, ownAskedPerSecond: 8, untold: 0},
+ *   fleet: {used: 8, askedPerSecond: 8, ageMs: 0, ownAskedPerSecond: 8,
+ *     unaccounted: 0},
  *   random: () => 0.2}) // {kind: 'admit'}
  */
 export function decideRateLimit(
@@ -84,35 +85,35 @@
 
 /** Requests a second that this entry may send. */
 function shareOf(view: RateLimitView, options: RateLimitOptions): number {
-  const {limitPerSecond, ownAskedPerSecond, heard, entries} = view;
-  const unheard = limitPerSecond * options.unheardShare;
-  if (!heard || heard.askedPerSecond <= 0) return unheard / entries;
-  if (heard.ageMs > options.freshMs) {
+  const {limitPerSecond, ownAskedPerSecond, fleet, entries} = view;
+  const unheard = limitPerSecond * options.uncoordinatedShare;
+  if (!fleet || fleet.askedPerSecond <= 0) return unheard / entries;
+  if (fleet.ageMs > options.maxAgeMs) {
     return (
-      unheard * Math.min(1, heard.ownAskedPerSecond / heard.askedPerSecond)
+      unheard * Math.min(1, fleet.ownAskedPerSecond / fleet.askedPerSecond)
     );
   }
-  const others = Math.max(0, heard.askedPerSecond - heard.ownAskedPerSecond);
-  const asked = others * growthOf(view, heard, options) + ownAskedPerSecond;
-  return (rateOf(view, heard, options) * ownAskedPerSecond) / asked;
+  const others = Math.max(0, fleet.askedPerSecond - fleet.ownAskedPerSecond);
+  const asked = others * growthOf(view, fleet, options) + ownAskedPerSecond;
+  return (rateOf(view, fleet, options) * ownAskedPerSecond) / asked;
 }
 
 /** More than the limit while the window isn't full, less while it is overfull. */
 function rateOf(
   {limitPerSecond}: RateLimitView,
-  {used, untold}: HeardRateUse,
-  {windowMs, gain, fullShare}: RateLimitOptions,
+  {used, unaccounted}: ReceivedRateUse,
+  {windowMs, gain, maxFillRatio}: RateLimitOptions,
 ): number {
   const perWindow = (limitPerSecond * windowMs) / MS_PER_SECOND;
-  const filled = (used + untold) / perWindow;
-  if (filled >= fullShare) return 0;
+  const filled = (used + unaccounted) / perWindow;
+  if (filled >= maxFillRatio) return 0;
   return limitPerSecond * (1 + gain * (1 - filled));
 }
 
 /** A burst reaches all entries alike, and none has heard of the others' yet. */
 function growthOf(
   {ownAskedPerSecond}: RateLimitView,
-  heard: HeardRateUse,
+  heard: ReceivedRateUse,
   {noisePerSecond}: RateLimitOptions,
 ): number {
   const before = heard.ownAskedPerSecond + noisePerSecond;
--- a/packages/banyanfold-decisions/src/placement/growHot.ts
+++ b/packages/banyanfold-decisions/src/placement/addHotCopies.ts
@@ -9,7 +9,7 @@
 export const FULL_LOAD = 1;
 
 /** Plans extra copies of what keeps runners busy above a load. */
-export function growHot(
+export function addHotCopies(
   plan: PlacementPlan,
   options: PlacementOptions,
   aboveLoad: number,
--- a/packages/banyanfold-decisions/src/placement/makeRooms.ts
+++ b/packages/banyanfold-decisions/src/placement/makeRoomForOrphans.ts
@@ -3,7 +3,7 @@
 import {rankTargets, type Target} from './chooseTarget.js';
 import {findRoom, retireAll, type Room} from './freeMemory.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
-import {relocateFor} from './relocateFor.js';
+import {relocateSoleCopies} from './relocateSoleCopies.js';
 
 /** An orphan for which no runner has memory free now. */
 export interface TightOrphan {
@@ -20,7 +20,7 @@
  *
  * @returns whether room is being made for any.
  */
-export function makeRooms(
+export function makeRoomForOrphans(
   plan: PlacementPlan,
   tight: TightOrphan[],
   options: PlacementOptions,
@@ -36,7 +36,7 @@
     const open = targets.filter(({target}) => !claimed.has(target));
     const target =
       makeRoom(plan, orphan, neededBytes, open) ??
-      relocateFor(plan, orphan, neededBytes, open);
+      relocateSoleCopies(plan, orphan, neededBytes, open);
     if (target) {
       claimed.add(target);
       made += 1;
--- a/packages/banyanfold-decisions/src/placement/placeOrphans.ts
+++ b/packages/banyanfold-decisions/src/placement/placeOrphans.ts
@@ -1,14 +1,14 @@
 import type {PlacementOptions} from '../options.js';
 import type {PlacementArtifact} from '../types.js';
 import {rankTargets} from './chooseTarget.js';
-import {makeRooms, type TightOrphan} from './makeRooms.js';
+import {makeRoomForOrphans, type TightOrphan} from './makeRoomForOrphans.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
 /** Smoothed demand falls off for long; below this nobody asks any more. */
 const MIN_DEMAND_PER_SECOND = 0.01;
 
 /** Whether callers ask for it now. */
-export function isAskedFor(orphan: PlacementArtifact): boolean {
+export function isRequested(orphan: PlacementArtifact): boolean {
   return orphan.waiting > 0 || orphan.demandPerSecond >= MIN_DEMAND_PER_SECOND;
 }
 
@@ -51,7 +51,7 @@
       isWaiting = true;
     }
   }
-  return makeRooms(plan, tight, options) || isWaiting;
+  return makeRoomForOrphans(plan, tight, options) || isWaiting;
 }
 
 /** Bytes of an orphan with those of its adapters that have no copy either. */
--- a/packages/banyanfold-decisions/src/placement/relocateFor.ts
+++ b/packages/banyanfold-decisions/src/placement/relocateSoleCopies.ts
@@ -24,7 +24,7 @@
  *
  * @returns the runner that is being cleared, or undefined.
  */
-export function relocateFor(
+export function relocateSoleCopies(
   plan: PlacementPlan,
   orphan: PlacementArtifact,
   neededBytes: number,
--- a/packages/banyanfold-decisions/src/planCopies.ts
+++ b/packages/banyanfold-decisions/src/planCopies.ts
@@ -48,8 +48,8 @@
     private readonly options: PlanCopiesOptions,
   ) {
     this.fleet = new FleetCopies(input, options);
-    const {mayMakeRoom = true} = input;
-    this.moves = new CopyMoves(this.fleet, options, mayMakeRoom);
+    const {canEvict = true} = input;
+    this.moves = new CopyMoves(this.fleet, options, canEvict);
     this.loadsLeft = input.storeLoadsLeft;
   }
 
@@ -69,7 +69,7 @@
 
   /** Callers need not wait for the room while a copy elsewhere is sooner. */
   private noteRoomToCome(to: PlannedRunner, model: CopyModel): void {
-    if (to.runner.isSilent) return;
+    if (to.runner.isUnresponsive) return;
     const inMs = UNLOAD_MS + loadMsOf(model, to);
     this.fleet.addComing(to, model, {inMs, needsRoom: true});
   }
@@ -134,13 +134,13 @@
 
   /** Models of which a copy here is one of many, and large enough. */
   private sparedBy(to: PlannedRunner, orphan: CopyModel): CopyModel[] {
-    const {keptCopies, minGain, horizonMs} = this.options;
+    const {protectedCopies, minGain, horizonMs} = this.options;
     return [...to.models]
       .map(name => this.fleet.model(name))
       .filter(victim => victim !== undefined)
       .filter(victim => {
         const left = this.fleet.servingCopies(victim.name) - 1;
-        if (left < keptCopies) return false;
+        if (left < protectedCopies) return false;
         const burdened = this.fleet.burdenedWithout(victim, to) * horizonMs;
         const isSpare = burdened / MS_PER_SECOND < minGain;
         return isSpare && to.freeMb + victim.weightsMb >= orphan.weightsMb;
--- a/packages/banyanfold-decisions/src/urgencyOf.ts
+++ b/packages/banyanfold-decisions/src/priorityWeight.ts
@@ -15,8 +15,8 @@
  *
  * @param priority the route's; 0 is the most urgent.
  * @param leastUrgent the highest priority number of all routes.
- * @example urgencyOf(0, 2) // 2
+ * @example priorityWeight(0, 2) // 2
  */
-export function urgencyOf(priority: number, leastUrgent: number): number {
+export function priorityWeight(priority: number, leastUrgent: number): number {
   return 1 + Math.max(0, leastUrgent - priority) * PER_STEP;
 }
--- a/packages/banyanfold-decisions/src/spreadOrder.ts
+++ b/packages/banyanfold-decisions/src/rankByWeight.ts
@@ -4,22 +4,22 @@
  * Sorts entries by a weight, the heaviest first, and equals in an order that
  * doesn't follow their addresses, so that they are spread over the failure domains.
  *
- * @example spreadOrder(entries, entry => entry.processorShare)[0] // the largest
+ * @example rankByWeight(entries, entry => entry.processorShare)[0] // the largest
  */
-export function spreadOrder<E extends {address: string}>(
+export function rankByWeight<E extends {address: string}>(
   entries: readonly E[],
   weightOf: (entry: E) => number,
 ): E[] {
   const ranked = entries.map(entry => ({
     entry,
     weight: weightOf(entry),
-    rank: rankOf(entry.address),
+    rank: hashRank(entry.address),
   }));
   ranked.sort((a, b) => b.weight - a.weight || (a.rank < b.rank ? 1 : -1));
   return ranked.map(({entry}) => entry);
 }
 
 /** Sorts texts in an order that looks random and is the same in every process. */
-export function rankOf(text: string): string {
+export function hashRank(text: string): string {
   return createHash('sha1').update(text).digest('hex');
 }
--- a/packages/banyanfold-decisions/src/usage/fleetUsage.ts
+++ b/packages/banyanfold-decisions/src/usage/fleetUsage.ts
@@ -1,5 +1,5 @@
 import {DecayingRate} from './decayingRate.js';
-import type {FleetUsageTold} from './organisationUsage.js';
+import type {FleetUsageSnapshot} from './organisationUsage.js';
 import type {UsageLimit} from './usageLimit.js';
 import {SlidingWindow} from './slidingWindow.js';
 
@@ -27,12 +27,12 @@
   /** Undefined for an organisation without a cap. */
   limitOf(organisation: string): UsageLimit | undefined;
   /** Since when all use is reported here. */
-  sinceMs: number;
+  startMs: number;
   /**
    * What had been used of the limit by then, in a window; all of it where that
    * isn't known.
    */
-  usedBefore(organisation: string, limit: UsageLimit): number;
+  initialUse(organisation: string, limit: UsageLimit): number;
 }
 
 /** Use of the whole fleet, as the holder of orders hears of it. */
@@ -41,7 +41,7 @@
 
   constructor(private readonly options: FleetUsageOptions) {}
 
-  note(reports: readonly UsageReport[], nowMs: number): void {
+  addReports(reports: readonly UsageReport[], nowMs: number): void {
     for (const {organisation, asked, used} of reports) {
       const limit = this.options.limitOf(organisation);
       if (!limit) continue;
@@ -54,9 +54,9 @@
   }
 
   /** What is left to organisations that were asked for within a window. */
-  tell(nowMs: number): Record<string, FleetUsageTold> {
+  snapshot(nowMs: number): Record<string, FleetUsageSnapshot> {
     const {limitOf, windowMs} = this.options;
-    const told: Record<string, FleetUsageTold> = {};
+    const told: Record<string, FleetUsageSnapshot> = {};
     for (const [organisation, account] of this.accounts) {
       const limit = limitOf(organisation);
       if (!limit || nowMs - account.askedMs > windowMs) {
@@ -76,13 +76,13 @@
   private of(name: string, limit: UsageLimit): Account {
     let account = this.accounts.get(name);
     if (!account) {
-      const {windowMs, sinceMs, usedBefore} = this.options;
+      const {windowMs, startMs, initialUse} = this.options;
       const used = new SlidingWindow(windowMs);
-      used.spread(usedBefore(name, limit), sinceMs);
+      used.addEvenly(initialUse(name, limit), startMs);
       account = {
         used,
         asked: new DecayingRate(SMOOTHING_MS),
-        askedMs: sinceMs,
+        askedMs: startMs,
         perWindow: limit.perWindow,
       };
       this.accounts.set(name, account);
--- a/packages/banyanfold-decisions/src/usage/organisationUsage.ts
+++ b/packages/banyanfold-decisions/src/usage/organisationUsage.ts
@@ -2,7 +2,7 @@
 import type {UsageLimit} from './usageLimit.js';
 
 /** What the fleet has used of a cap, as the holder of orders tells it. */
-export interface FleetUsageTold {
+export interface FleetUsageSnapshot {
   /** Left of the limit; negative when more has been used. */
   left: number;
   /** What comes free a second as earlier use leaves the window. */
@@ -28,7 +28,7 @@
 const SMOOTHING_MS = 500;
 /** What the holder told counts this long. */
 const TOLD_FRESH_MS = 1_500;
-const UNASKED: FleetUsageTold = {
+const UNASKED: FleetUsageSnapshot = {
   left: 0,
   freedPerSecond: 0,
   askedPerSecond: 0,
@@ -70,7 +70,7 @@
   private readonly reported = new DecayingRate(SMOOTHING_MS);
   private unreported = 0;
   private told:
-    (FleetUsageTold & {atMs: number; ownPerSecond: number}) | undefined;
+    (FleetUsageSnapshot & {atMs: number; ownPerSecond: number}) | undefined;
   /** Admitted here and not in what was told. */
   private untold = 0;
   private perWindow = 0;
@@ -102,13 +102,13 @@
   }
 
   /** What was asked for here up to now is on its way to the holder. */
-  noteReported(nowMs: number): void {
+  markReported(nowMs: number): void {
     this.reported.add(this.unreported, nowMs);
     this.unreported = 0;
   }
 
   /** What was admitted was not run after all. */
-  giveBack(amount: number): void {
+  refund(amount: number): void {
     this.untold -= amount;
   }
 
@@ -119,7 +119,11 @@
    * @param atMs when that was known.
    * @param untold admitted here and not in it.
    */
-  tell(told: FleetUsageTold | number, atMs: number, untold: number): void {
+  update(
+    told: FleetUsageSnapshot | number,
+    atMs: number,
+    untold: number,
+  ): void {
     const ownPerSecond = this.reported.perSecond(atMs);
     const usage = typeof told === 'number' ? UNASKED : told;
     this.told = {...usage, atMs, ownPerSecond};
--- a/packages/banyanfold-decisions/src/usage/slidingWindow.ts
+++ b/packages/banyanfold-decisions/src/usage/slidingWindow.ts
@@ -27,7 +27,7 @@
   }
 
   /** As if an amount had been added evenly over the window before. */
-  spread(amount: number, nowMs: number): void {
+  addEvenly(amount: number, nowMs: number): void {
     this.advance(nowMs);
     for (let i = 0; i < SLOTS; i++) {
       this.amounts[this.indexOf(this.newestSlot - i)]! += amount / SLOTS;
--- a/packages/banyanfold-gateway/src/callers/usageAccounts.ts
+++ b/packages/banyanfold-gateway/src/callers/usageAccounts.ts
@@ -1,6 +1,6 @@
 import {
   OrganisationUsage,
-  type FleetUsageTold,
+  type FleetUsageSnapshot,
   type UsageDecision,
   type UsageLimit,
   type UsageReport,
@@ -38,7 +38,7 @@
 }
 
 interface ToldUsage {
-  usage: Readonly<Record<string, FleetUsageTold>>;
+  usage: Readonly<Record<string, FleetUsageSnapshot>>;
   /** When it was known to the holder. */
   atMs: number;
   /** Left to one that isn't told of, as a share of its limit. */
@@ -73,9 +73,9 @@
 
   /** Of what is told by the holder, those that may soon have nothing left. */
   nearLimit(
-    told: Readonly<Record<string, FleetUsageTold>>,
+    told: Readonly<Record<string, FleetUsageSnapshot>>,
     limitOf: (organisation: string) => UsageLimit | undefined,
-  ): Record<string, FleetUsageTold> {
+  ): Record<string, FleetUsageSnapshot> {
     const near = Object.entries(told).filter(([name, {left}]) => {
       const perWindow = limitOf(name)?.perWindow ?? Infinity;
       return left < perWindow * KEPT_LEFT_SHARE;
@@ -85,7 +85,7 @@
 
   /** Takes in what was kept in the store, until the holder tells. */
   tellStored(
-    usage: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageSnapshot>>,
     ageMs: number,
   ): void {
     if (this.told) return;
@@ -110,7 +110,7 @@
   /** What was admitted was not run after all. */
   giveBack(organisation: string, amount: number): void {
     const account = this.of(organisation);
-    account.usage.giveBack(amount);
+    account.usage.refund(amount);
     account.unreported -= amount;
     this.meter.note(organisation, 0, -amount);
   }
@@ -121,7 +121,7 @@
       if (!this.options.isKnown(name)) this.accounts.delete(name);
       account.reported = account.unreported;
       account.unreported = 0;
-      account.usage.noteReported(this.options.clock.nowMs());
+      account.usage.markReported(this.options.clock.nowMs());
     }
     return this.meter.take();
   }
@@ -133,7 +133,7 @@
    * @param isPassedOn a relay told, whose word may not hold the last report yet.
    */
   tell(
-    told: Readonly<Record<string, FleetUsageTold>>,
+    told: Readonly<Record<string, FleetUsageSnapshot>>,
     ageMs: number,
     isPassedOn: boolean,
   ): void {
@@ -141,7 +141,7 @@
   }
 
   private tellAll(
-    usage: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageSnapshot>>,
     ageMs: number,
     unlistedShare: number,
     isPassedOn: boolean,
@@ -157,7 +157,7 @@
   private tellOf(name: string, {usage}: Account, untold: number): void {
     const {told} = this;
     if (!told) return;
-    usage.tell(told.usage[name] ?? told.unlistedShare, told.atMs, untold);
+    usage.update(told.usage[name] ?? told.unlistedShare, told.atMs, untold);
   }
 
   /** Age of what this entry decides by, in ms; undefined before it was told. */
--- a/packages/banyanfold-gateway/src/callers/usageKeeper.ts
+++ b/packages/banyanfold-gateway/src/callers/usageKeeper.ts
@@ -1,5 +1,5 @@
 import type {Clock, Logger} from '@banyanfold/core';
-import type {FleetUsageTold} from '@banyanfold/decisions';
+import type {FleetUsageSnapshot} from '@banyanfold/decisions';
 import {repeatEvery} from '../repeatEvery.js';
 import type {LeaseSource, UsageStore} from '../types.js';
 import type {UsageAccounts} from './usageAccounts.js';
@@ -13,7 +13,7 @@
   /** The whole system starts for the first time; nothing has been used. */
   isFirstStart: boolean;
   /** What organisations that are near their limits have left. */
-  nearLimit(): Record<string, FleetUsageTold>;
+  nearLimit(): Record<string, FleetUsageSnapshot>;
 }
 
 const SAVE_INTERVAL_MS = 1_000;
--- a/packages/banyanfold-gateway/src/crashes/crashLedger.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashLedger.ts
@@ -1,8 +1,8 @@
 import type {Clock, Logger, Metrics} from '@banyanfold/core';
 import {
-  JUDGE_CRASHES_OPTIONS,
-  judgeCrashes,
-  type CrashRow,
+  DEFAULT_ATTRIBUTE_CRASHES_OPTIONS,
+  attributeCrashes,
+  type CrashHistory,
   type CrashVerdict,
 } from '@banyanfold/decisions';
 import type {
@@ -24,7 +24,7 @@
   onQuarantine?: (fingerprint: string) => void;
 }
 
-interface LedgerRow extends CrashRow {
+interface LedgerRow extends CrashHistory {
   crashes: Set<string>;
   /** When it was last heard of. */
   atMs: number;
@@ -81,8 +81,8 @@
   noteQuarantined(fingerprints: readonly string[]): void {
     for (const fingerprint of fingerprints) {
       const row = this.rowOf(fingerprint);
-      if (row.isKnownGuilty) continue;
-      row.isKnownGuilty = true;
+      if (row.hasPriorQuarantine) continue;
+      row.hasPriorQuarantine = true;
       row.quarantinedAtMs ??= this.options.clock.nowMs();
       this.isChanged = true;
     }
@@ -118,7 +118,7 @@
     const crashesOf = (id: string) => this.rows.get(id)?.crashes.size ?? 0;
     const facts = {
       crashes: crashesOf(fingerprint),
-      isBeingJudged: this.isBeingJudged(fingerprint),
+      isVerdictPending: this.isBeingJudged(fingerprint),
     };
     const decision = this.trials.permit(input, facts, crashesOf);
     if (decision.kind === 'wait') return {reason: decision.reason};
@@ -144,7 +144,7 @@
   private noteServed(fingerprint: string): void {
     this.trials.end(fingerprint);
     const row = this.rows.get(fingerprint);
-    if (!row || row.isKnownGuilty) return;
+    if (!row || row.hasPriorQuarantine) return;
     this.rows.delete(fingerprint);
     this.isChanged = true;
   }
@@ -166,7 +166,7 @@
     if (!this.isChanged && nowMs < this.settlesAtMs) return;
     this.isChanged = false;
     const before = this.verdicts;
-    this.verdicts = judgeCrashes(this.rows.values(), life =>
+    this.verdicts = attributeCrashes(this.rows.values(), life =>
       this.isSettled(life, nowMs),
     );
     this.settlesAtMs = this.nextSettleMs(nowMs);
@@ -195,7 +195,7 @@
   /** It has crashed a runner by itself, and not all have told of it yet. */
   private isBeingJudged(fingerprint: string): boolean {
     const row = this.rows.get(fingerprint);
-    const {quarantineCrashes} = JUDGE_CRASHES_OPTIONS;
+    const {quarantineCrashes} = DEFAULT_ATTRIBUTE_CRASHES_OPTIONS;
     if (!row?.hasCrashedAlone || row.crashes.size < quarantineCrashes) {
       return false;
     }
@@ -225,7 +225,7 @@
         crashes: new Set(),
         hasCrashedAlone: false,
         unresolvedTrials: 0,
-        isKnownGuilty: false,
+        hasPriorQuarantine: false,
         atMs: this.options.clock.nowMs(),
       };
       this.rows.set(fingerprint, row);
@@ -257,7 +257,7 @@
     row.crashes = new Set([`${fingerprint}#1`, `${fingerprint}#2`]);
     row.hasCrashedAlone = false;
     row.unresolvedTrials = 0;
-    row.isKnownGuilty = false;
+    row.hasPriorQuarantine = false;
     row.quarantinedAtMs = undefined;
     row.atMs = this.options.clock.nowMs();
     this.isChanged = true;
@@ -266,8 +266,8 @@
   /** Drops what says least: the oldest of those with the fewest crashes. */
   private keepBounded(): void {
     if (this.rows.size <= MAX_ROWS) return;
-    const rank = ({crashes, isKnownGuilty}: LedgerRow) =>
-      isKnownGuilty ? MAX_CRASHES_KEPT : crashes.size;
+    const rank = ({crashes, hasPriorQuarantine}: LedgerRow) =>
+      hasPriorQuarantine ? MAX_CRASHES_KEPT : crashes.size;
     const least = [...this.rows.values()]
       .slice(0, -1)
       .sort((a, b) => rank(a) - rank(b) || a.atMs - b.atMs)
--- a/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
@@ -1,5 +1,8 @@
 import type {Clock} from '@banyanfold/core';
-import {JUDGE_CRASHES_OPTIONS, type CrashVerdict} from '@banyanfold/decisions';
+import {
+  DEFAULT_ATTRIBUTE_CRASHES_OPTIONS,
+  type CrashVerdict,
+} from '@banyanfold/decisions';
 import type {CrashNews, KnownSuspects, ToldSuspects} from './crashContract.js';
 import type {SeenCrash} from './crashWatch.js';
 
@@ -51,7 +54,7 @@
     const known = this.knownOf(fingerprint);
     if (known) return known.untilMs === undefined ? 'suspect' : 'quarantined';
     const crashes = this.own.get(fingerprint);
-    const {suspectCrashes} = JUDGE_CRASHES_OPTIONS;
+    const {suspectCrashes} = DEFAULT_ATTRIBUTE_CRASHES_OPTIONS;
     if (!crashes || crashes.length < suspectCrashes) return undefined;
     // Older ones the holder has judged, and found it to be none.
     const unjudgedMs = this.toldAtMs - WORD_BACK_MS;
--- a/packages/banyanfold-gateway/src/crashes/crashTrials.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashTrials.ts
@@ -5,7 +5,7 @@
 /** What the ledger knows of a suspect that asks for a trial. */
 export interface SuspectFacts {
   crashes: number;
-  isBeingJudged: boolean;
+  isVerdictPending: boolean;
 }
 
 interface Trial {
@@ -35,10 +35,10 @@
       ...facts,
       fingerprint,
       runnerIds,
-      underWay: new Map(
+      activeTrials: new Map(
         [...this.underWay].map(([id, {runnerId}]) => [id, runnerId]),
       ),
-      othersCrashes: this.othersWaiting(fingerprint).map(crashesOf),
+      otherCrashCounts: this.othersWaiting(fingerprint).map(crashesOf),
     });
     if (decision.kind === 'run') {
       const {runnerId} = decision;
--- a/packages/banyanfold-gateway/src/placement/copyRunnerOf.ts
+++ b/packages/banyanfold-gateway/src/placement/copyRunnerOf.ts
@@ -19,7 +19,7 @@
     reservedMb: engine.adapterSlots * adapterMb,
     models: [...controller.models],
     isBusy: controller.isBusy || !controller.isKnown,
-    isSilent: controller.isSilent,
+    isUnresponsive: controller.isSilent,
     inMemory: controller.inMemory,
     onDisk: controller.onDisk,
     intendedModel: controller.intendedModel,
--- a/packages/banyanfold-gateway/src/placement/holder.ts
+++ b/packages/banyanfold-gateway/src/placement/holder.ts
@@ -5,9 +5,9 @@
   type CopyOrder,
   type CopyRunner,
   FleetUsage,
-  type FleetUsageTold,
+  type FleetUsageSnapshot,
   type UsageLimit,
-  type Relays,
+  type RelaysByDomain,
 } from '@banyanfold/decisions';
 import type {TrialInput, TrialOutput} from '../crashes/crashContract.js';
 import type {UsageAccounts} from '../callers/usageAccounts.js';
@@ -106,7 +106,7 @@
   private fleetUsage: FleetUsage;
   /** Of the lease, in which all use was reported here. */
   private usageTerm: number | undefined;
-  private relays: Relays = new Map();
+  private relays: RelaysByDomain = new Map();
   private relaysChosenMs = Number.NEGATIVE_INFINITY;
   private copiesNotedMs = Number.NEGATIVE_INFINITY;
   private copiesNoteTookMs = 0;
@@ -184,7 +184,7 @@
       peersWork: this.loads.workWithout(entry, nowMs),
       peersRequests: this.loads.requestsWithout(entry, nowMs),
       ejectedForMs: this.outcomes.tell(),
-      usage: this.fleetUsage.tell(nowMs),
+      usage: this.fleetUsage.snapshot(nowMs),
       rateLimits: this.rateLimits.tell(),
       suspects: this.deps.crashes.tell(input.knownSuspects),
     };
@@ -203,16 +203,16 @@
     const {usage} = this.deps;
     return new FleetUsage({
       windowMs: usage.windowMs,
-      sinceMs,
+      startMs: sinceMs,
       limitOf: name => this.limitOf(name),
-      usedBefore: (name, limit) =>
+      initialUse: (name, limit) =>
         Math.max(0, limit.perWindow - (usage.leftOf(name, limit) ?? 0)),
     });
   }
 
   /** What organisations that are near their limits have left. */
-  usageNearLimit(): Record<string, FleetUsageTold> {
-    const told = this.fleetUsage.tell(this.deps.clock.nowMs());
+  usageNearLimit(): Record<string, FleetUsageSnapshot> {
+    const told = this.fleetUsage.snapshot(this.deps.clock.nowMs());
     return this.deps.usage.nearLimit(told, name => this.limitOf(name));
   }
 
@@ -231,7 +231,7 @@
       this.demand.note(batch.demand, nowMs);
       this.noteAdapterUse(batch.demand);
       this.outcomes.note(batch.outcomes ?? []);
-      this.fleetUsage.note(batch.usage ?? [], nowMs);
+      this.fleetUsage.addReports(batch.usage ?? [], nowMs);
       this.rateLimits.noteUse(batch.rateUse ?? []);
     }
     const {view, holder, onNewerConfig} = this.deps;
@@ -481,12 +481,12 @@
           memoryLoadMs,
           workPerSecond: this.demand.workPerSecond(name, nowMs),
           requestsPerSecond: this.demand.requestsPerSecond(name, nowMs),
-          usualRequestsPerSecond: this.demand.usualPerSecond(name, nowMs),
+          longTermRequestsPerSecond: this.demand.usualPerSecond(name, nowMs),
           waiting: this.loads.waiting(name, nowMs),
           idleMs: this.idleMs(name, nowMs),
         }),
       ),
-      mayMakeRoom: this.demand.knownForMs(nowMs) >= DEMAND_KNOWN_MS,
+      canEvict: this.demand.knownForMs(nowMs) >= DEMAND_KNOWN_MS,
       storeLoadsLeft: loadRate.left(engine.loadsPerSecond, nowMs),
     });
     for (const order of orders) void this.give(order, engine);
--- a/packages/banyanfold-gateway/src/requests/requestRun.ts
+++ b/packages/banyanfold-gateway/src/requests/requestRun.ts
@@ -1,5 +1,5 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {urgencyOf} from '@banyanfold/decisions';
+import {priorityWeight} from '@banyanfold/decisions';
 import type {Timer} from '@banyanfold/core';
 import type {GatewayContext} from '../context.js';
 import {adapterKey} from '../runners/heldCopies.js';
@@ -177,7 +177,7 @@
     if (this.isOverCap()) return;
     if (model !== undefined) {
       const {leastUrgent} = context.view;
-      const urgency = urgencyOf(this.options.route.priority, leastUrgent);
+      const urgency = priorityWeight(this.options.route.priority, leastUrgent);
       const tokens = {promptTokens, maxOutputTokens};
       context.demand.noteArrival({model, adapter, urgency, ...tokens});
       context.coming.note(model, this.started.work.read);
--- a/packages/banyanfold-gateway/src/runners/promptGate.ts
+++ b/packages/banyanfold-gateway/src/runners/promptGate.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@banyanfold/core';
-import {decideWindow, type StreamPace} from '@banyanfold/decisions';
+import {decidePromptWindow, type StreamPace} from '@banyanfold/decisions';
 
 /** One request that waits for its prompt's turn. */
 interface Waiting {
@@ -96,7 +96,7 @@
 
   notePace(runnerId: string, pace: StreamPace): void {
     const state = this.of(runnerId);
-    state.window = decideWindow(state.window, pace);
+    state.window = decidePromptWindow(state.window, pace);
     this.letIn(state);
   }
 
--- a/packages/banyanfold-gateway/src/runners/runnerRateLimits.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerRateLimits.ts
@@ -118,7 +118,7 @@
     const decision = decideRateLimit({
       limitPerSecond: Math.max(limited.perSecond, MIN_PER_SECOND),
       ownAskedPerSecond: limited.asked.perSecond(nowMs),
-      heard: heardOf(limited, nowMs),
+      fleet: heardOf(limited, nowMs),
       entries: entries(),
       random,
     });
@@ -264,7 +264,7 @@
     askedPerSecond: othersAskedPerSecond + ownAskedPerSecond,
     ownAskedPerSecond,
     ageMs: nowMs - atMs,
-    untold: unreported + reported,
+    unaccounted: unreported + reported,
   };
 }
 
--- a/packages/banyanfold-gateway/src/types.ts
+++ b/packages/banyanfold-gateway/src/types.ts
@@ -1,5 +1,5 @@
 import type {BanyanfoldError} from '@banyanfold/core';
-import type {FleetUsageTold} from '@banyanfold/decisions';
+import type {FleetUsageSnapshot} from '@banyanfold/decisions';
 import type {Result} from 'neverthrow';
 import type {LeaseHandover} from './peers/peerContract.js';
 
@@ -352,7 +352,7 @@
 export interface UsageRecord {
   /** Unix time. */
   atMs: number;
-  organisations: Record<string, FleetUsageTold>;
+  organisations: Record<string, FleetUsageSnapshot>;
 }
 
 /** Keeps what has been used while no process may. */
