--- a/packages/banyanfold-decisions/src/limits/decideRateLimit.ts
+++ b/packages/banyanfold-decisions/src/limits/decideRateLimit.ts
@@ -1,46 +1,46 @@
-/** What the whole fleet did with a rate-limited runner, as the holder tells it. */
+/** Use of a rate-limited runner by all entries, from the lease holder. */
 export interface FleetRateUse {
   /** Requests sent within the window. */
   used: number;
-  /** Requests that wanted the runner, sent or not. */
+  /** Requests per second for the runner, whether sent or refused. */
   askedPerSecond: number;
 }
 
-/** The fleet's use as one entry last heard it. */
+/** The use by all entries, as this entry last received it. */
 export interface ReceivedRateUse extends FleetRateUse {
   ageMs: number;
-  /** What this entry was asked for at that time, which is part of it. */
+  /** Request rate of this entry at that time, part of `askedPerSecond`. */
   ownAskedPerSecond: number;
-  /** Sent by this entry and not in `used`. */
+  /** Requests sent by this entry that `used` doesn't include. */
   unaccounted: number;
 }
 
-/** What an entry decides by. */
+/** Input of {@link decideRateLimit}. */
 export interface RateLimitView {
-  /** Requests a second that the runner takes from all entries together. */
+  /** Requests per second that the runner accepts from all entries together. */
   limitPerSecond: number;
-  /** Requests that want the runner at this entry, this one included. */
+  /** Requests per second for the runner at this entry, including this one. */
   ownAskedPerSecond: number;
-  /** Undefined while the holder has told nothing. */
+  /** Undefined until the lease holder has reported the use. */
   fleet?: ReceivedRateUse;
-  /** Entries at work, this one included. */
+  /** Number of active entries, including this one. */
   entries: number;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform number in [0, 1). */
   random(): number;
 }
 
 export interface RateLimitOptions {
-  /** The span over which use is summed up. */
+  /** Window over which the use is summed. */
   windowMs: number;
-  /** What was heard counts this long; three exchanges may be lost. */
+  /** Maximum age of valid received use; three exchanges may be lost. */
   maxAgeMs: number;
-  /** How strongly the rate answers a window that is less or more than full. */
+  /** Feedback gain: how strongly the rate corrects a deviation of the use. */
   gain: number;
-  /** With so many times the limit in the window nothing more is sent. */
+  /** No request is sent while the use is this many times the window's limit. */
   maxFillRatio: number;
-  /** Of the limit, what is used by entries that hear nothing of each other. */
+  /** Share of the limit to use while entries don't know each other's use. */
   uncoordinatedShare: number;
-  /** Requests a second of this entry below which a growth of them is noise. */
+  /** Below this rate of requests at this entry, a growth counts as noise. */
   noisePerSecond: number;
 }
 
@@ -55,17 +55,18 @@
 
 export type RateLimitDecision =
   | {kind: 'admit'}
-  /** @property retryAfterMs until the runner takes another request. */
+  /** @property retryAfterMs time until the runner accepts another request. */
   | {kind: 'refuse'; retryAfterMs: number};
 
 const MS_PER_SECOND = 1000;
 
 /**
- * Whether an entry sends a request to a runner that takes so many a second from all
- * entries together. Each admits by chance the share that the limit is of what all
- * of them are asked for, so that no entry needs a part of its own: at a limit of one
- * request a second and hundreds of entries a part would be too small for any. The
- * window of what was sent corrects the rate.
+ * Decides whether an entry sends a request to a runner whose request rate limit
+ * all entries share. Each entry admits a random share of its requests, equal to
+ * the ratio of the limit to the demand at all entries. No entry needs a quota
+ * of its own: with a limit of one request per second and hundreds of entries,
+ * each quota would be too small to use. The rate is corrected by the use within
+ * the window.
  *
  * @example
  * decideRateLimit({limitPerSecond: 2, ownAskedPerSecond: 8, entries: 1,
@@ -78,44 +79,53 @@
   options: RateLimitOptions = DEFAULT_RATE_LIMIT_OPTIONS,
 ): RateLimitDecision {
   const {limitPerSecond, ownAskedPerSecond, random} = view;
-  const share = shareOf(view, options);
-  if (random() * ownAskedPerSecond < share) return {kind: 'admit'};
+  const allowedPerSecond = allowedRate(view, options);
+  if (random() * ownAskedPerSecond < allowedPerSecond) return {kind: 'admit'};
   return {kind: 'refuse', retryAfterMs: MS_PER_SECOND / limitPerSecond};
 }
 
-/** Requests a second that this entry may send. */
-function shareOf(view: RateLimitView, options: RateLimitOptions): number {
+/** Requests per second that this entry may send. */
+function allowedRate(view: RateLimitView, options: RateLimitOptions): number {
   const {limitPerSecond, ownAskedPerSecond, fleet, entries} = view;
-  const unheard = limitPerSecond * options.uncoordinatedShare;
-  if (!fleet || fleet.askedPerSecond <= 0) return unheard / entries;
+  const uncoordinated = limitPerSecond * options.uncoordinatedShare;
+  if (!fleet || fleet.askedPerSecond <= 0) return uncoordinated / entries;
   if (fleet.ageMs > options.maxAgeMs) {
     return (
-      unheard * Math.min(1, fleet.ownAskedPerSecond / fleet.askedPerSecond)
+      uncoordinated *
+      Math.min(1, fleet.ownAskedPerSecond / fleet.askedPerSecond)
     );
   }
-  const others = Math.max(0, fleet.askedPerSecond - fleet.ownAskedPerSecond);
-  const asked = others * growthOf(view, fleet, options) + ownAskedPerSecond;
-  return (rateOf(view, fleet, options) * ownAskedPerSecond) / asked;
+  const othersAsked = Math.max(
+    0,
+    fleet.askedPerSecond - fleet.ownAskedPerSecond,
+  );
+  const totalAsked =
+    othersAsked * demandGrowth(view, fleet, options) + ownAskedPerSecond;
+  return (correctedRate(view, fleet, options) * ownAskedPerSecond) / totalAsked;
 }
 
-/** More than the limit while the window isn't full, less while it is overfull. */
-function rateOf(
+/** Above the limit while the window has room, below it when overfull. */
+function correctedRate(
   {limitPerSecond}: RateLimitView,
   {used, unaccounted}: ReceivedRateUse,
   {windowMs, gain, maxFillRatio}: RateLimitOptions,
 ): number {
   const perWindow = (limitPerSecond * windowMs) / MS_PER_SECOND;
-  const filled = (used + unaccounted) / perWindow;
-  if (filled >= maxFillRatio) return 0;
-  return limitPerSecond * (1 + gain * (1 - filled));
+  const fillRatio = (used + unaccounted) / perWindow;
+  if (fillRatio >= maxFillRatio) return 0;
+  return limitPerSecond * (1 + gain * (1 - fillRatio));
 }
 
-/** A burst reaches all entries alike, and none has heard of the others' yet. */
-function growthOf(
+/**
+ * Growth of the demand at this entry since the last exchange. The other entries
+ * are assumed to grow alike, because a burst reaches all of them before their
+ * reports include it.
+ */
+function demandGrowth(
   {ownAskedPerSecond}: RateLimitView,
-  heard: ReceivedRateUse,
+  fleet: ReceivedRateUse,
   {noisePerSecond}: RateLimitOptions,
 ): number {
-  const before = heard.ownAskedPerSecond + noisePerSecond;
-  return Math.max(1, (ownAskedPerSecond + noisePerSecond) / before);
+  const previousRate = fleet.ownAskedPerSecond + noisePerSecond;
+  return Math.max(1, (ownAskedPerSecond + noisePerSecond) / previousRate);
 }
--- a/packages/banyanfold-decisions/src/usage/decayingRate.ts
+++ b/packages/banyanfold-decisions/src/usage/decayingRate.ts
@@ -1,7 +1,7 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * A rate that follows what is added, and falls exponentially without it.
+ * Rate of added amounts, with exponential decay.
  *
  * @example
  * const rate = new DecayingRate(1_500);
@@ -12,7 +12,7 @@
   private value = 0;
   private updatedMs = 0;
 
-  /** @param smoothingMs after which 0.37 of an amount is left in the rate. */
+  /** @param smoothingMs time constant, after which 0.37 of it remains. */
   constructor(private readonly smoothingMs: number) {}
 
   add(amount: number, nowMs: number): void {
--- a/packages/banyanfold-decisions/src/usage/fleetUsage.ts
+++ b/packages/banyanfold-decisions/src/usage/fleetUsage.ts
@@ -5,37 +5,37 @@
 
 const SMOOTHING_MS = 500;
 
-/** What entries have asked for and admitted, for one organisation. */
+/** Demand and use that entries have counted for one organisation. */
 export interface UsageReport {
   organisation: string;
-  /** Refused or not. */
+  /** Requested amount, whether admitted or refused. */
   asked: number;
-  /** Admitted, less what was not run after all. */
+  /** Admitted amount, less what was not run. */
   used: number;
 }
 
 interface Account {
   used: SlidingWindow;
   asked: DecayingRate;
-  askedMs: number;
-  /** Of the limit by which it was last counted. */
+  lastAskedMs: number;
+  /** The limit per window that applied when the use was last scaled. */
   perWindow: number;
 }
 
 export interface FleetUsageOptions {
   windowMs: number;
-  /** Undefined for an organisation without a cap. */
+  /** Returns undefined for an organisation without a cap. */
   limitOf(organisation: string): UsageLimit | undefined;
-  /** Since when all use is reported here. */
+  /** Time since which all use is reported to this instance. */
   startMs: number;
   /**
-   * What had been used of the limit by then, in a window; all of it where that
-   * isn't known.
+   * Returns the use of the limit in the window before `startMs`; the whole
+   * limit if the use is unknown.
    */
   initialUse(organisation: string, limit: UsageLimit): number;
 }
 
-/** Use of the whole fleet, as the holder of orders hears of it. */
+/** Use of the caps by all entries, as counted by the lease holder. */
 export class FleetUsage {
   private readonly accounts = new Map<string, Account>();
 
@@ -45,35 +45,35 @@
     for (const {organisation, asked, used} of reports) {
       const limit = this.options.limitOf(organisation);
       if (!limit) continue;
-      const account = this.of(organisation, limit);
-      scaleToLower(account, limit);
+      const account = this.accountFor(organisation, limit);
+      scaleToLowerLimit(account, limit);
       account.used.add(used, nowMs);
       account.asked.add(asked, nowMs);
-      account.askedMs = nowMs;
+      account.lastAskedMs = nowMs;
     }
   }
 
-  /** What is left to organisations that were asked for within a window. */
+  /** Returns the state of organisations with requests within a window. */
   snapshot(nowMs: number): Record<string, FleetUsageSnapshot> {
     const {limitOf, windowMs} = this.options;
-    const told: Record<string, FleetUsageSnapshot> = {};
+    const snapshots: Record<string, FleetUsageSnapshot> = {};
     for (const [organisation, account] of this.accounts) {
       const limit = limitOf(organisation);
-      if (!limit || nowMs - account.askedMs > windowMs) {
+      if (!limit || nowMs - account.lastAskedMs > windowMs) {
         this.accounts.delete(organisation);
         continue;
       }
-      scaleToLower(account, limit);
-      told[organisation] = {
+      scaleToLowerLimit(account, limit);
+      snapshots[organisation] = {
         left: Math.round(limit.perWindow - account.used.sum(nowMs)),
         freedPerSecond: account.used.expiringPerSecond(nowMs),
         askedPerSecond: account.asked.perSecond(nowMs),
       };
     }
-    return told;
+    return snapshots;
   }
 
-  private of(name: string, limit: UsageLimit): Account {
+  private accountFor(name: string, limit: UsageLimit): Account {
     let account = this.accounts.get(name);
     if (!account) {
       const {windowMs, startMs, initialUse} = this.options;
@@ -82,7 +82,7 @@
       account = {
         used,
         asked: new DecayingRate(SMOOTHING_MS),
-        askedMs: startMs,
+        lastAskedMs: startMs,
         perWindow: limit.perWindow,
       };
       this.accounts.set(name, account);
@@ -92,10 +92,11 @@
 }
 
 /**
- * What was used under a higher limit counts by its share of that one: a limit that
- * is lowered far would have all refused until none of it is left in the window.
+ * Scales use under a higher limit down to the current one. Otherwise a limit
+ * that is lowered far would cause all requests to be refused until that use has
+ * left the window.
  */
-function scaleToLower(account: Account, {perWindow}: UsageLimit): void {
+function scaleToLowerLimit(account: Account, {perWindow}: UsageLimit): void {
   const factor = perWindow / account.perWindow;
   account.perWindow = perWindow;
   if (factor < 1) account.used.scale(factor);
--- a/packages/banyanfold-decisions/src/usage/organisationUsage.ts
+++ b/packages/banyanfold-decisions/src/usage/organisationUsage.ts
@@ -1,64 +1,66 @@
 import {DecayingRate} from './decayingRate.js';
 import type {UsageLimit} from './usageLimit.js';
 
-/** What the fleet has used of a cap, as the holder of orders tells it. */
+/** Use of a cap by all entries, as reported by the lease holder. */
 export interface FleetUsageSnapshot {
-  /** Left of the limit; negative when more has been used. */
+  /** Remaining amount of the limit; negative when more has been used. */
   left: number;
-  /** What comes free a second as earlier use leaves the window. */
+  /** Amount per second that becomes free as earlier use leaves the window. */
   freedPerSecond: number;
-  /** What callers ask for at all entries, refused or not. */
+  /** Amount per second requested at all entries, including refused ones. */
   askedPerSecond: number;
 }
 
-/** What an entry decides by. */
+/** Input of {@link OrganisationUsage.decide}. */
 export interface UsageView {
   limit: UsageLimit;
   nowMs: number;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform number in [0, 1). */
   random(): number;
 }
 
 export type UsageDecision =
-  /** @property left of the limit, as far as this entry knows. */
+  /** @property left remaining amount, as far as this entry knows. */
   | {kind: 'admit'; left: number}
-  /** @property retryAfterMs until as much as the request needs is left. */
+  /** @property retryAfterMs time until enough is left for the request. */
   | {kind: 'refuse'; left: number; retryAfterMs: number};
 
 const SMOOTHING_MS = 500;
-/** What the holder told counts this long. */
-const TOLD_FRESH_MS = 1_500;
-const UNASKED: FleetUsageSnapshot = {
+/** A snapshot is valid as it is up to this age. */
+const SNAPSHOT_FRESH_MS = 1_500;
+const NO_USAGE: FleetUsageSnapshot = {
   left: 0,
   freedPerSecond: 0,
   askedPerSecond: 0,
 };
 /**
- * What was left when last told is spent evenly over this long; by then half of what
- * had been used before has left the window.
+ * The remaining amount of an older snapshot is spent evenly up to this age, by
+ * which half of the earlier use has left the window.
  */
-const SPENT_MS = 4_000;
-/** Until the others know of what an entry admits: an exchange, or two by a relay. */
-const UNHEARD_MS = 700;
+const SNAPSHOT_SPEND_MS = 4_000;
+/** Time until others know of an admission: an exchange, or two via a relay. */
+const PROPAGATION_MS = 700;
 /**
- * With a smaller share of what is asked for the others count as none: a report
- * reaches the holder some ms after it was made, and fades there that much later.
+ * Below this share of the total demand, the demand of the other entries counts
+ * as zero: a report reaches the holder some ms after it was made, so its rate
+ * decays that much later there.
  */
-const LEAST_OTHERS_SHARE = 0.05;
-/** Of the limit, what must be left for a request, however large it is. */
-const LARGEST_NEED = 0.5;
+const MIN_OTHERS_SHARE = 0.05;
+/** The largest share of the limit that must be left for one request. */
+const MAX_NEEDED_SHARE = 0.5;
 const MS_PER_SECOND = 1000;
 
 /**
- * One organisation's use of its cap, as one entry accounts for it.
+ * Tracks the use of one organisation's cap at one entry.
  *
- * While more is left than the other entries can admit until this one hears of it, it
- * admits whatever comes. Close to the limit each admits by chance, so that all of
- * them together admit what is left and what comes free meanwhile. An entry that is
- * told nothing admits the share of the rate that its callers had of all.
+ * While more is left than the other entries can admit before this one learns of
+ * it, every request is admitted. Near the limit, each entry admits at random,
+ * so that all entries together admit what is left and what becomes free. An
+ * entry without a snapshot admits the share of the rate that its callers had of
+ * the total demand.
  *
- * Answers the load of an organisation far over its cap beside others under theirs,
- * at entries that hear of each other some hundred ms late, or not at all.
+ * Designed for an organisation far over its cap next to others below theirs, at
+ * entries that learn of each other's use some hundred ms late, or not at all.
  *
  * @example
  * const usage = new OrganisationUsage(true);
@@ -66,34 +68,34 @@
  */
 export class OrganisationUsage {
   private readonly asked = new DecayingRate(SMOOTHING_MS);
-  /** The same as the holder counts it, which is when it is reported. */
+  /** The same demand when it is reported, as the lease holder counts it. */
   private readonly reported = new DecayingRate(SMOOTHING_MS);
-  private unreported = 0;
-  private told:
+  private unreportedAmount = 0;
+  private fleet:
     (FleetUsageSnapshot & {atMs: number; ownPerSecond: number}) | undefined;
-  /** Admitted here and not in what was told. */
-  private untold = 0;
+  /** Amount admitted here that the snapshot does not include. */
+  private unaccounted = 0;
   private perWindow = 0;
-  /** Left of the limit, where that was told and no amount. */
+  /** Remaining share of the limit, if the update gave a share. */
   private leftShare: number | undefined;
 
-  /** @param isUnused nobody had used anything when this entry started. */
-  constructor(private readonly isUnused: boolean) {}
+  /** @param isFleetUnused whether nothing was used when this entry started. */
+  constructor(private readonly isFleetUnused: boolean) {}
 
   decide(amount: number, view: UsageView): UsageDecision {
     const {limit, nowMs, random} = view;
     this.asked.add(amount, nowMs);
-    this.unreported += amount;
-    this.noteLimit(limit);
+    this.unreportedAmount += amount;
+    this.applyLimit(limit);
     const othersPerSecond = this.othersAskedPerSecond();
     const askedPerSecond = othersPerSecond + this.asked.perSecond(nowMs);
     const {left, perSecond} = this.available(view, othersPerSecond);
-    const unheardSeconds = UNHEARD_MS / MS_PER_SECOND;
-    const needed = Math.min(amount, limit.perWindow * LARGEST_NEED);
-    const isAmple = left >= needed + othersPerSecond * unheardSeconds;
-    const share = (left / unheardSeconds + perSecond) / askedPerSecond;
+    const propagationSeconds = PROPAGATION_MS / MS_PER_SECOND;
+    const needed = Math.min(amount, limit.perWindow * MAX_NEEDED_SHARE);
+    const isAmple = left >= needed + othersPerSecond * propagationSeconds;
+    const share = (left / propagationSeconds + perSecond) / askedPerSecond;
     if (isAmple || random() < share) {
-      this.untold += amount;
+      this.unaccounted += amount;
       return {kind: 'admit', left};
     }
     const missing = amount - left;
@@ -101,83 +103,84 @@
     return {kind: 'refuse', left, retryAfterMs};
   }
 
-  /** What was asked for here up to now is on its way to the holder. */
+  /** Records that a report to the lease holder includes all demand so far. */
   markReported(nowMs: number): void {
-    this.reported.add(this.unreported, nowMs);
-    this.unreported = 0;
+    this.reported.add(this.unreportedAmount, nowMs);
+    this.unreportedAmount = 0;
   }
 
-  /** What was admitted was not run after all. */
+  /** Returns an admitted amount that was not run. */
   refund(amount: number): void {
-    this.untold -= amount;
+    this.unaccounted -= amount;
   }
 
   /**
-   * Takes in what the fleet has used.
+   * Replaces the known use of all entries.
    *
-   * @param told what is left, or which share of the limit, of whatever is asked.
-   * @param atMs when that was known.
-   * @param untold admitted here and not in it.
+   * @param fleet the remaining amount, or the share that remains of any limit.
+   * @param atMs time at which that was known.
+   * @param unaccounted amount admitted here that `fleet` does not include.
    */
   update(
-    told: FleetUsageSnapshot | number,
+    fleet: FleetUsageSnapshot | number,
     atMs: number,
-    untold: number,
+    unaccounted: number,
   ): void {
     const ownPerSecond = this.reported.perSecond(atMs);
-    const usage = typeof told === 'number' ? UNASKED : told;
-    this.told = {...usage, atMs, ownPerSecond};
-    this.leftShare = typeof told === 'number' ? told : undefined;
-    this.untold = untold;
+    const usage = typeof fleet === 'number' ? NO_USAGE : fleet;
+    this.fleet = {...usage, atMs, ownPerSecond};
+    this.leftShare = typeof fleet === 'number' ? fleet : undefined;
+    this.unaccounted = unaccounted;
   }
 
-  /** What callers ask for at the other entries, as last told. */
+  /** Demand at the other entries, as of the last snapshot. */
   private othersAskedPerSecond(): number {
-    if (!this.told) return 0;
-    const {askedPerSecond, ownPerSecond} = this.told;
+    if (!this.fleet) return 0;
+    const {askedPerSecond, ownPerSecond} = this.fleet;
     const others = askedPerSecond - ownPerSecond;
-    return others > askedPerSecond * LEAST_OTHERS_SHARE ? others : 0;
+    return others > askedPerSecond * MIN_OTHERS_SHARE ? others : 0;
   }
 
   /**
-   * What is known may have been counted by a higher limit, until the holder tells
-   * again.
+   * Scales the known use, which may have been counted under a higher limit,
+   * until the next snapshot arrives.
    */
-  private noteLimit({perWindow}: UsageLimit): void {
+  private applyLimit({perWindow}: UsageLimit): void {
     const factor = perWindow / this.perWindow;
     this.perWindow = perWindow;
-    if (this.told && this.leftShare !== undefined) {
-      this.told.left = this.leftShare * perWindow;
+    if (this.fleet && this.leftShare !== undefined) {
+      this.fleet.left = this.leftShare * perWindow;
       return;
     }
     if (factor >= 1) return;
-    this.untold *= factor;
-    if (this.told) this.told.left *= factor;
+    this.unaccounted *= factor;
+    if (this.fleet) this.fleet.left *= factor;
   }
 
-  /** What all entries together may admit now, and a second from now on. */
+  /** Amount that all entries may admit now, and the rate from now on. */
   private available(
     {limit, nowMs}: UsageView,
     othersPerSecond: number,
   ): {left: number; perSecond: number} {
-    const {told, isUnused, untold} = this;
+    const {fleet, isFleetUnused, unaccounted} = this;
     const {ratePerSecond, perWindow} = limit;
-    if (!told && isUnused) {
-      return {left: perWindow - untold, perSecond: ratePerSecond};
+    if (!fleet && isFleetUnused) {
+      return {left: perWindow - unaccounted, perSecond: ratePerSecond};
     }
-    if (!told) return {left: 0, perSecond: ratePerSecond};
-    const freed = Math.min(told.freedPerSecond, ratePerSecond);
-    const sinceMs = nowMs - told.atMs;
-    if (sinceMs > SPENT_MS) return {left: 0, perSecond: ratePerSecond};
-    if (sinceMs > TOLD_FRESH_MS) {
-      const spend = (Math.max(0, told.left) * MS_PER_SECOND) / SPENT_MS;
+    if (!fleet) return {left: 0, perSecond: ratePerSecond};
+    const freed = Math.min(fleet.freedPerSecond, ratePerSecond);
+    const sinceMs = nowMs - fleet.atMs;
+    if (sinceMs > SNAPSHOT_SPEND_MS) return {left: 0, perSecond: ratePerSecond};
+    if (sinceMs > SNAPSHOT_FRESH_MS) {
+      const spend =
+        (Math.max(0, fleet.left) * MS_PER_SECOND) / SNAPSHOT_SPEND_MS;
       return {left: 0, perSecond: Math.min(ratePerSecond, freed + spend)};
     }
     const change =
-      ((told.freedPerSecond - othersPerSecond) * sinceMs) / MS_PER_SECOND;
-    // The others stop at the limit as well.
-    const lowest = Math.min(told.left, 0);
-    const left = Math.min(perWindow, Math.max(lowest, told.left + change));
-    return {left: left - untold, perSecond: freed};
+      ((fleet.freedPerSecond - othersPerSecond) * sinceMs) / MS_PER_SECOND;
+    // The other entries stop at the limit too.
+    const lowest = Math.min(fleet.left, 0);
+    const left = Math.min(perWindow, Math.max(lowest, fleet.left + change));
+    return {left: left - unaccounted, perSecond: freed};
   }
 }
--- a/packages/banyanfold-decisions/src/usage/slidingWindow.ts
+++ b/packages/banyanfold-decisions/src/usage/slidingWindow.ts
@@ -1,11 +1,11 @@
-/** Slots of a window; what is counted expires up to one slot late. */
+/** Slots per window; an amount expires up to one slot late. */
 const SLOTS = 32;
-/** Of which the rate of expiry is taken: 2 s of a window of 8 s. */
+/** Slots from which the rate of expiry is computed: 2 s of a window of 8 s. */
 const EXPIRING_SLOTS = 8;
 const MS_PER_SECOND = 1000;
 
 /**
- * Amounts of a sliding window.
+ * Sum of amounts over a sliding window.
  *
  * @example
  * const window = new SlidingWindow(8_000);
@@ -26,7 +26,9 @@
     this.amounts[this.indexOf(this.newestSlot)]! += amount;
   }
 
-  /** As if an amount had been added evenly over the window before. */
+  /**
+   * Adds an amount as if it had been added evenly over the preceding window.
+   */
   addEvenly(amount: number, nowMs: number): void {
     this.advance(nowMs);
     for (let i = 0; i < SLOTS; i++) {
@@ -34,7 +36,7 @@
     }
   }
 
-  /** Counts what was added before as so many times as much. */
+  /** Multiplies all amounts added so far. */
   scale(factor: number): void {
     for (const i of this.amounts.keys()) this.amounts[i]! *= factor;
   }
@@ -44,7 +46,7 @@
     return this.amounts.reduce((sum, amount) => sum + amount, 0);
   }
 
-  /** What expires a second, from now on for some slots. */
+  /** Amount per second that expires during the next slots. */
   expiringPerSecond(nowMs: number): number {
     this.advance(nowMs);
     let sum = 0;
--- a/packages/banyanfold-decisions/src/usage/usageLimit.ts
+++ b/packages/banyanfold-decisions/src/usage/usageLimit.ts
@@ -6,14 +6,14 @@
   burst: number;
 }
 
-/** What an organisation may use in a window. */
+/** Amount that an organisation may use within a window. */
 export interface UsageLimit {
   ratePerSecond: number;
   perWindow: number;
 }
 
 /**
- * The limit that the entries hold together.
+ * Converts a cap to the limit that all entries enforce together.
  *
  * @example usageLimitOf({ratePerSecond: 10, burst: 20}, 8_000).perWindow // 100
  */
