--- a/packages/banyanfold-decisions/src/crashes/attributeCrashes.ts
+++ b/packages/banyanfold-decisions/src/crashes/attributeCrashes.ts
@@ -1,35 +1,35 @@
-/** What is known of one request that was at runners when they crashed. */
+/** Runner crashes during which one request was in flight at the runner. */
 export interface CrashHistory {
   fingerprint: string;
-  /** The lives of runners that crashed while they had it. */
+  /** Incarnations of runners that crashed while the request was there. */
   crashes: ReadonlySet<string>;
-  /** One of them crashed when it ran there by itself. */
+  /** Whether one of them crashed while it ran this request in a trial. */
   hasCrashedAlone: boolean;
-  /** Runs by itself of which nothing is known: neither answered nor crashed. */
+  /** Trials whose result is unknown: neither an answer nor a crash. */
   unresolvedTrials: number;
-  /** Found guilty before; the crashes that proved it may be forgotten. */
+  /** Whether it was quarantined before; its crashes may have been dropped. */
   hasPriorQuarantine: boolean;
 }
 
 /**
- * A suspect runs where no other suspect does; one in quarantine isn't run.
- * Requests without a verdict run like all others.
+ * A suspect runs only where no other suspect does; a quarantined request is not
+ * run. Requests without a verdict run normally.
  */
 export type CrashVerdict = 'suspect' | 'quarantined';
 
 export interface AttributeCrashesOptions {
-  /** From so many on a request is a suspect. */
+  /** Number of crashes from which a request is a suspect. */
   suspectCrashes: number;
-  /** From so many on it may be put into quarantine. */
+  /** Number of crashes from which a request may be quarantined. */
   quarantineCrashes: number;
-  /** So many trials without a result are taken for a proof. */
+  /** Number of unresolved trials that counts as proof. */
   maxUnresolvedTrials: number;
 }
 
 /**
- * A request may crash three runners, and reach three more once all can know. So
- * the third run is watched already, and of the three that are left two may end
- * without a result.
+ * A request may crash three runners, and reach three more once all entries can
+ * know of it. The third run is therefore a trial already, and two of the three
+ * remaining runs may end without a result.
  */
 export const DEFAULT_ATTRIBUTE_CRASHES_OPTIONS: AttributeCrashesOptions = {
   suspectCrashes: 2,
@@ -38,19 +38,23 @@
 };
 
 /**
- * Whether a request crashes its runners, or only was at them when others did.
- * Dozens of requests are at a runner that crashes, and those that are sent on
- * together meet again at the next one: a count alone would put them into
- * quarantine with the one that did it, or with what crashed several runners at
- * once, such as a rack without power. So a request is to blame only if a runner
- * crashed when it ran there by itself, and no other one was at all the runners
- * that crashed under it. What it is to blame for doesn't count against the others.
+ * Decides which requests crash runners, as opposed to requests that were only
+ * in flight at a runner that crashed.
  *
- * Answers the load of one request that comes again and again, among many that
- * share its model and so its runners.
+ * Dozens of requests are in flight at a runner that crashes, and those that are
+ * retried together meet again at the next one. A count of crashes alone would
+ * quarantine them with the cause, or quarantine requests for an event that took
+ * down several runners at once, such as a rack without power. A request is
+ * therefore the cause only if a runner crashed while it ran there in a trial,
+ * and no other request was at all the runners that crashed under it. Crashes
+ * attributed to it don't count against other requests.
  *
- * @param isSettled whether all entries have told by now who was at a runner.
- * @returns by fingerprint; those that run like all others are left out.
+ * Designed for one request that is sent again and again, among many that share
+ * its model and therefore its runners.
+ *
+ * @param isSettled whether all entries have reported which requests were at an
+ * incarnation.
+ * @returns verdicts by fingerprint; requests that run normally are omitted.
  * @example
  * attributeCrashes([{fingerprint: 'a', crashes: new Set(['r1', 'r2', 'r3']),
  *   hasCrashedAlone: true, unresolvedTrials: 0, hasPriorQuarantine: false}],
@@ -58,40 +62,47 @@
  * // Map {'a' => 'quarantined'}
  */
 export function attributeCrashes(
-  rows: Iterable<CrashHistory>,
-  isSettled: (life: string) => boolean,
+  histories: Iterable<CrashHistory>,
+  isSettled: (incarnation: string) => boolean,
   options: AttributeCrashesOptions = DEFAULT_ATTRIBUTE_CRASHES_OPTIONS,
 ): Map<string, CrashVerdict> {
-  const byCrashes = [...rows].sort(
+  const sorted = [...histories].sort(
     (a, b) =>
       b.crashes.size - a.crashes.size || compare(a.fingerprint, b.fingerprint),
   );
   const verdicts = new Map<string, CrashVerdict>();
-  const explained = new Set<string>();
-  for (const row of byCrashes) {
-    const left = [...row.crashes].filter(life => !explained.has(life));
-    const settled = left.filter(isSettled);
-    if (row.hasPriorQuarantine || isToBlame(row, settled, byCrashes, options)) {
-      verdicts.set(row.fingerprint, 'quarantined');
-      for (const life of row.crashes) explained.add(life);
-    } else if (left.length >= options.suspectCrashes) {
-      verdicts.set(row.fingerprint, 'suspect');
+  const attributed = new Set<string>();
+  for (const history of sorted) {
+    const unattributed = [...history.crashes].filter(
+      incarnation => !attributed.has(incarnation),
+    );
+    const settled = unattributed.filter(isSettled);
+    if (
+      history.hasPriorQuarantine ||
+      isCause(history, settled, sorted, options)
+    ) {
+      verdicts.set(history.fingerprint, 'quarantined');
+      for (const incarnation of history.crashes) attributed.add(incarnation);
+    } else if (unattributed.length >= options.suspectCrashes) {
+      verdicts.set(history.fingerprint, 'suspect');
     }
   }
   return verdicts;
 }
 
-function isToBlame(
-  row: CrashHistory,
+function isCause(
+  history: CrashHistory,
   crashes: readonly string[],
-  rows: readonly CrashHistory[],
+  histories: readonly CrashHistory[],
   {quarantineCrashes, maxUnresolvedTrials}: AttributeCrashesOptions,
 ): boolean {
   if (crashes.length < quarantineCrashes) return false;
-  if (row.unresolvedTrials >= maxUnresolvedTrials) return true;
-  if (!row.hasCrashedAlone) return false;
-  return !rows.some(
-    other => other !== row && crashes.every(life => other.crashes.has(life)),
+  if (history.unresolvedTrials >= maxUnresolvedTrials) return true;
+  if (!history.hasCrashedAlone) return false;
+  return !histories.some(
+    other =>
+      other !== history &&
+      crashes.every(incarnation => other.crashes.has(incarnation)),
   );
 }
 
--- a/packages/banyanfold-decisions/src/crashes/decideTrial.ts
+++ b/packages/banyanfold-decisions/src/crashes/decideTrial.ts
@@ -1,15 +1,15 @@
-/** A suspect that asks to run, and what else is tried now. */
+/** A suspect that requests a trial, and the trials of other suspects. */
 export interface TrialView {
   fingerprint: string;
-  /** Crashes under it, by which those that asked lately are put in order. */
+  /** Number of crashes under it; suspects are tried in order of it. */
   crashes: number;
-  /** It may be found guilty as soon as all have told of the last crash. */
+  /** Whether it may be quarantined once all entries report the last crash. */
   isVerdictPending: boolean;
-  /** Where it could run, the best one first. */
+  /** Runners that could run it, best first. */
   runnerIds: readonly string[];
-  /** Trials under way: the runner of each, by fingerprint. */
+  /** Runners of the trials in progress, by fingerprint. */
   activeTrials: ReadonlyMap<string, string>;
-  /** Crashes under each other suspect that asked lately and isn't tried now. */
+  /** Crashes under each other suspect that waits for a trial. */
   otherCrashCounts: readonly number[];
 }
 
@@ -21,12 +21,13 @@
     };
 
 /**
- * Where a suspect may run: by itself at a runner, as far as suspects go, and
+ * Decides where a suspect may run: at a runner where no other suspect runs, and
  * never at two runners at once. If that runner crashes, no other suspect was at
- * all the runners that crashed under it. The one under which most have crashed
- * goes first: when it is found guilty, those that ran beside it need no trial.
+ * all the runners that crashed under this one. The suspect with the most
+ * crashes goes first: once it is quarantined, the suspects that ran beside it
+ * need no trial.
  *
- * Answers the load of dozens of suspects that were at the same two runners.
+ * Designed for dozens of suspects that were at the same two runners.
  *
  * @example
  * decideTrial({fingerprint: 'a', crashes: 2, isVerdictPending: false,
@@ -42,8 +43,8 @@
   if (otherCrashCounts.some(others => others > crashes)) {
     return {kind: 'wait', reason: 'others-first'};
   }
-  const taken = new Set(activeTrials.values());
-  const runnerId = runnerIds.find(id => !taken.has(id));
+  const occupied = new Set(activeTrials.values());
+  const runnerId = runnerIds.find(id => !occupied.has(id));
   if (runnerId === undefined) return {kind: 'wait', reason: 'runners-taken'};
   return {kind: 'run', runnerId};
 }
