--- a/packages/banyanfold-decisions/src/copies/copyMoves.ts
+++ b/packages/banyanfold-decisions/src/copies/copyMoves.ts
@@ -5,113 +5,123 @@
 
 const MS_PER_SECOND = 1000;
 
-/** One copy more, with the way to it. */
+/** One more copy of a model, and what it takes to make it. */
 export interface CopyMove {
   model: CopyModel;
-  to: PlannedRunner;
-  /** What makes way for it, in this order. */
+  target: PlannedRunner;
+  /** Copies to evict for it, in this order. */
   victims: CopyModel[];
   isFromStore: boolean;
-  /** Until the copy serves. */
+  /** Time until the copy serves. */
   readyMs: number;
-  /** Callers saved over the horizon, less what the way costs. */
+  /**
+   * Callers saved over the horizon, less the cost of evictions and the load.
+   */
   gain: number;
   reason: 'orphan' | 'relieve' | 'crowded';
 }
 
 /**
- * Moves of one model that are compared with those of others. A plan takes few of
- * them, and the next one looks again: with all of them a plan for 100 runners
- * and 200 models sorted 20,000.
+ * Number of moves per model that are compared with those of other models. A
+ * plan takes few moves, and the next plan starts afresh. With all of them, a
+ * plan for 100 runners and 200 models sorted 20,000 moves.
  */
 const MOVES_PER_MODEL = 6;
 
-/** Finds the copy that saves most callers, from the state at the time. */
+/** Finds the copies that save most callers in the current state of the plan. */
 export class CopyMoves {
   /**
-   * What is the same for all moves of one look. Worked out for each move, a plan
-   * for 100 runners and 200 models took half a second.
+   * Callers saved per model, shared by all moves of one evaluation. Computed
+   * for each move, it made a plan for 100 runners and 200 models take half a
+   * second.
    */
-  private readonly relieved = new Map<string, number>();
+  private readonly savedAtHolders = new Map<string, number>();
   private readonly victims: CopyVictims;
 
   constructor(
     private readonly fleet: FleetCopies,
     private readonly options: PlanCopiesOptions,
-    mayMakeRoom: boolean,
+    canEvict: boolean,
   ) {
-    this.victims = new CopyVictims(fleet, options, mayMakeRoom);
+    this.victims = new CopyVictims(fleet, options, canEvict);
   }
 
-  /** All moves that are worth their way as things stand, the best first. */
-  all(storeLoadsLeft: number): CopyMove[] {
-    this.forget();
+  /** Returns all moves whose gain exceeds the minimum, best first. */
+  findMoves(loadsLeft: number): CopyMove[] {
+    this.clearCache();
     const moves: CopyMove[] = [];
     for (const model of this.fleet.models.values()) {
-      if (this.isWanted(model)) moves.push(...this.best(model, storeLoadsLeft));
+      if (this.canSave(model)) moves.push(...this.bestMoves(model, loadsLeft));
     }
     return moves.sort(byGain);
   }
 
-  private best(model: CopyModel, storeLoadsLeft: number): CopyMove[] {
+  private bestMoves(model: CopyModel, loadsLeft: number): CopyMove[] {
     const moves: CopyMove[] = [];
-    for (const to of this.fleet.runners) {
-      const move = this.evaluate(to, model, storeLoadsLeft);
+    for (const target of this.fleet.runners) {
+      const move = this.evaluate(target, model, loadsLeft);
       if (move) moves.push(move);
     }
     return moves.sort(byGain).slice(0, MOVES_PER_MODEL);
   }
 
   /**
-   * A copy more at that runner, after what the plan has decided so far; undefined
-   * if it isn't worth its way.
+   * Evaluates one more copy at a runner after the decisions of the plan so far.
+   * Returns undefined if its gain is too small.
    */
-  moveTo(
-    to: PlannedRunner,
+  reevaluate(
+    target: PlannedRunner,
     model: CopyModel,
-    storeLoadsLeft: number,
+    loadsLeft: number,
   ): CopyMove | undefined {
-    this.forget();
-    return this.evaluate(to, model, storeLoadsLeft);
+    this.clearCache();
+    return this.evaluate(target, model, loadsLeft);
   }
 
-  private forget(): void {
-    this.relieved.clear();
-    this.victims.forget();
+  private clearCache(): void {
+    this.savedAtHolders.clear();
+    this.victims.clearCache();
   }
 
   private evaluate(
-    to: PlannedRunner,
+    target: PlannedRunner,
     model: CopyModel,
-    storeLoadsLeft: number,
+    loadsLeft: number,
   ): CopyMove | undefined {
-    if (to.isTaken || to.models.has(model.name)) return undefined;
-    const {onDisk, inMemory} = to.runner;
-    const isNear = inMemory.includes(model.name) || onDisk.includes(model.name);
-    if (!isNear && storeLoadsLeft < 1) return undefined;
-    const nearMs =
-      loadMsOf(model, to) +
-      (to.runner.isUnresponsive ? this.options.unresponsivePenaltyMs : 0);
-    // What makes way only adds to the cost, and takes most of the time to find.
-    const most = this.savedBy(model, to, {readyMs: nearMs, needsRoom: false});
-    if (most.saved < this.options.minGain) return undefined;
-    const victims = this.victims.at(to, model);
+    if (target.hasOrder || target.models.has(model.name)) return undefined;
+    const {onDisk, inMemory} = target.runner;
+    const hasLocalWeights =
+      inMemory.includes(model.name) || onDisk.includes(model.name);
+    if (!hasLocalWeights && loadsLeft < 1) return undefined;
+    const loadMs =
+      loadMsOf(model, target) +
+      (target.runner.isUnresponsive ? this.options.unresponsivePenaltyMs : 0);
+    // Evictions only add to the cost, and finding them takes most of the time.
+    const upperBound = this.estimateSavings(model, target, {
+      readyMs: loadMs,
+      needsEviction: false,
+    });
+    if (upperBound.saved < this.options.minGain) return undefined;
+    const victims = this.victims.chooseVictims(target, model);
     if (!victims) return undefined;
-    const readyMs = victims.waitMs + nearMs;
-    const needsRoom = victims.models.length > 0;
-    const {saved, reason} = this.savedBy(model, to, {readyMs, needsRoom});
+    const readyMs = victims.waitMs + loadMs;
+    const needsEviction = victims.models.length > 0;
+    const {saved, reason} = this.estimateSavings(model, target, {
+      readyMs,
+      needsEviction,
+    });
     const {minGainToLossRatio, unloadWaitCostPerSecond} = this.options;
-    const blocked = (victims.waitMs * unloadWaitCostPerSecond) / MS_PER_SECOND;
-    const price = blocked + (isNear ? 0 : this.storeLoadCost(reason));
-    const gain = saved + this.domainGain(model, to) - price - victims.loss;
-    const minGain = this.minGainFor(model, needsRoom);
+    const waitCost = (victims.waitMs * unloadWaitCostPerSecond) / MS_PER_SECOND;
+    const price = waitCost + (hasLocalWeights ? 0 : this.storeLoadCost(reason));
+    const gain = saved + this.domainGain(model, target) - price - victims.loss;
+    const minGain = this.minGainFor(model, needsEviction);
     if (saved - price - victims.loss < minGain) return undefined;
     if (saved < victims.loss * minGainToLossRatio) return undefined;
     return {
       model,
-      to,
+      target,
       victims: victims.models,
-      isFromStore: !isNear,
+      isFromStore: !hasLocalWeights,
       readyMs,
       gain,
       reason,
@@ -123,66 +133,74 @@
     return reason === 'relieve' ? storeReliefCost : storeLoadCost;
   }
 
-  private minGainFor({name}: CopyModel, needsRoom: boolean): number {
+  private minGainFor({name}: CopyModel, needsEviction: boolean): number {
     const {minGain, minGainWhilePending} = this.options;
-    const isComing = this.fleet.comingCopies(name) > 0;
-    return isComing && needsRoom ? minGainWhilePending : minGain;
+    const isPending = this.fleet.pendingCopies(name) > 0;
+    return isPending && needsEviction ? minGainWhilePending : minGain;
   }
 
-  /** Spares the look at every runner for what no copy could save enough of. */
-  private isWanted(model: CopyModel): boolean {
+  /** Whether any copy can save enough; spares the evaluation of each runner. */
+  private canSave(model: CopyModel): boolean {
     const {minGain, horizonMs} = this.options;
-    if (this.fleet.askedOverHorizon(model) < minGain) return false;
+    if (this.fleet.callersOverHorizon(model) < minGain) return false;
     if (this.fleet.servingCopies(model.name) === 0) return true;
-    const relieved = (this.relievedBy(model) * horizonMs) / MS_PER_SECOND;
-    return Math.max(relieved, this.crowdedCallers(model)) >= minGain;
+    const savedAtHolders =
+      (this.savedAtHoldersOf(model) * horizonMs) / MS_PER_SECOND;
+    return (
+      Math.max(savedAtHolders, this.callersWaitingForSlots(model)) >= minGain
+    );
   }
 
-  private relievedBy(model: CopyModel): number {
-    let relieved = this.relieved.get(model.name);
-    if (relieved === undefined) {
-      relieved = this.fleet.relievedAtHolders(model);
-      this.relieved.set(model.name, relieved);
+  private savedAtHoldersOf(model: CopyModel): number {
+    let savedAtHolders = this.savedAtHolders.get(model.name);
+    if (savedAtHolders === undefined) {
+      savedAtHolders = this.fleet.callersSavedAtHolders(model);
+      this.savedAtHolders.set(model.name, savedAtHolders);
     }
-    return relieved;
+    return savedAtHolders;
   }
 
   /**
-   * Callers saved over the horizon by a copy that serves after `readyMs`. They
-   * need not wait for room that is being made while there is some elsewhere.
+   * Callers saved over the horizon by a copy that serves after `readyMs`. If
+   * the copy needs no eviction, pending copies that need one are ignored:
+   * callers don't have to wait for them.
    */
-  private savedBy(
+  private estimateSavings(
     model: CopyModel,
-    to: PlannedRunner,
-    {readyMs, needsRoom}: {readyMs: number; needsRoom: boolean},
+    target: PlannedRunner,
+    {readyMs, needsEviction}: {readyMs: number; needsEviction: boolean},
   ): Pick<CopyMove, 'reason'> & {saved: number} {
     const {fleet, options} = this;
     const leftMs = Math.max(0, options.horizonMs - readyMs);
-    const perSecond = this.relievedBy(model) - fleet.burdenedAt(to, model);
-    const relieved = (perSecond * leftMs) / MS_PER_SECOND;
+    const perSecond =
+      this.savedAtHoldersOf(model) - fleet.callersLostAtTarget(target, model);
+    const savedAtHolders = (perSecond * leftMs) / MS_PER_SECOND;
     if (fleet.servingCopies(model.name) === 0) {
-      const plannedMs = fleet.readyInMs(model.name, needsRoom);
-      const before = fleet.absentCallers(model, plannedMs);
-      const after = Math.min(before, fleet.absentCallers(model, readyMs));
-      return {saved: before - after + relieved, reason: 'orphan'};
+      const plannedMs = fleet.readyInMs(model.name, needsEviction);
+      const before = fleet.callersLostUntilReady(model, plannedMs);
+      const after = Math.min(
+        before,
+        fleet.callersLostUntilReady(model, readyMs),
+      );
+      return {saved: before - after + savedAtHolders, reason: 'orphan'};
     }
-    const crowded = this.crowdedCallers(model);
-    if (crowded > relieved) return {saved: crowded, reason: 'crowded'};
-    return {saved: relieved, reason: 'relieve'};
+    const crowded = this.callersWaitingForSlots(model);
+    if (crowded > savedAtHolders) return {saved: crowded, reason: 'crowded'};
+    return {saved: savedAtHolders, reason: 'relieve'};
   }
 
-  /** Callers who wait though runners hold their model, and no copy comes. */
-  private crowdedCallers({name, waiting}: CopyModel): number {
+  /** Callers that wait at holders of their model, beyond pending copies. */
+  private callersWaitingForSlots({name, waiting}: CopyModel): number {
     const {waitingPerCopy} = this.options;
-    const toCome = this.fleet.comingCopies(name);
-    return Math.floor(waiting / waitingPerCopy) > toCome
-      ? waiting - toCome * waitingPerCopy
+    const pending = this.fleet.pendingCopies(name);
+    return Math.floor(waiting / waitingPerCopy) > pending
+      ? waiting - pending * waitingPerCopy
       : 0;
   }
 
   private domainGain({name}: CopyModel, {runner}: PlannedRunner): number {
-    const isSecond = this.fleet.isInDomain(name, runner.failureDomain);
-    return isSecond ? 0 : this.options.newDomainGain;
+    const isInDomain = this.fleet.hasCopyInDomain(name, runner.failureDomain);
+    return isInDomain ? 0 : this.options.newDomainGain;
   }
 }
 
--- a/packages/banyanfold-decisions/src/copies/copyVictims.ts
+++ b/packages/banyanfold-decisions/src/copies/copyVictims.ts
@@ -4,94 +4,95 @@
 
 const MS_PER_SECOND = 1000;
 
-/** What makes way for a copy, together. */
+/** Copies that are evicted together for a new copy. */
 export interface Victims {
   models: CopyModel[];
-  /** Callers lost over the horizon by their going. */
+  /** Callers lost over the horizon by the evictions. */
   loss: number;
   waitMs: number;
 }
 
-/** One copy that may make way, with what that costs whatever comes. */
+/** A copy that can be evicted, with its cost regardless of the new copy. */
 interface Victim {
   victim: CopyModel;
-  /** Callers lost over the horizon by its going. */
+  /** Callers lost over the horizon by its eviction. */
   loss: number;
-  /** Until its runs are over. */
+  /** Time until its requests have finished. */
   waitMs: number;
 }
 
 const NO_VICTIMS: Victims = {models: [], loss: 0, waitMs: 0};
 
-/** Finds what makes way for a copy more, and what its going costs. */
+/** Chooses the copies to evict for a new copy, and computes their cost. */
 export class CopyVictims {
-  /** What may go at each runner, whatever comes; the same for all moves of a look. */
-  private readonly known = new Map<PlannedRunner, Victim[]>();
+  /** Copies that can be evicted, by runner; valid for one evaluation. */
+  private readonly cache = new Map<PlannedRunner, Victim[]>();
 
   constructor(
     private readonly fleet: FleetCopies,
     private readonly options: PlanCopiesOptions,
-    private readonly mayMakeRoom: boolean,
+    private readonly canEvict: boolean,
   ) {}
 
-  /** The plan has decided something: costs are counted anew. */
-  forget(): void {
-    this.known.clear();
+  /** Discards cached costs; to be called after each decision of the plan. */
+  clearCache(): void {
+    this.cache.clear();
   }
 
-  /** What makes way; undefined if what may go isn't enough. */
-  at(to: PlannedRunner, model: CopyModel): Victims | undefined {
-    const missingMb = model.weightsMb - to.freeMb;
+  /** Returns the copies to evict, or undefined if they free too little. */
+  chooseVictims(target: PlannedRunner, model: CopyModel): Victims | undefined {
+    const missingMb = model.weightsMb - target.freeMb;
     if (missingMb <= 0) return NO_VICTIMS;
-    if (!this.mayMakeRoom) return undefined;
-    const candidates = this.victimsOf(to);
+    if (!this.canEvict) return undefined;
+    const candidates = this.evictableAt(target);
     if (candidates.length === 0) return undefined;
-    const asked = this.fleet.askedOverHorizon(model);
+    const callers = this.fleet.callersOverHorizon(model);
     const costOf = ({loss, waitMs}: Victim) =>
-      loss + (asked * waitMs) / this.options.horizonMs;
-    const cheapest = leastOf(candidates, costOf);
-    if (cheapest.victim.weightsMb >= missingMb) return together([cheapest]);
-    // One that is large enough by itself goes before several smaller ones.
+      loss + (callers * waitMs) / this.options.horizonMs;
+    const cheapest = cheapestOf(candidates, costOf);
+    if (cheapest.victim.weightsMb >= missingMb) return combine([cheapest]);
+    // Prefers one large copy to several smaller ones of the same total cost.
     const large = candidates.filter(c => c.victim.weightsMb >= missingMb);
-    const alone = large.length > 0 ? [leastOf(large, costOf)] : undefined;
+    const single = large.length > 0 ? [cheapestOf(large, costOf)] : undefined;
     const sorted = [...candidates].sort((a, b) => costOf(a) - costOf(b));
-    const several = takeUntil(sorted, missingMb);
+    const several = takeUntilEnough(sorted, missingMb);
     const sum = (victims: Victim[]) =>
       victims.reduce((total, each) => total + costOf(each), 0);
-    if (!alone || !several) {
-      const chosen = alone ?? several;
-      return chosen && together(chosen);
+    if (!single || !several) {
+      const chosen = single ?? several;
+      return chosen && combine(chosen);
     }
-    return together(sum(alone) <= sum(several) ? alone : several);
+    return combine(sum(single) <= sum(several) ? single : several);
   }
 
-  private victimsOf(at: PlannedRunner): Victim[] {
-    let victims = this.known.get(at);
+  private evictableAt(holder: PlannedRunner): Victim[] {
+    let victims = this.cache.get(holder);
     if (!victims) {
-      victims = [...at.models]
+      victims = [...holder.models]
         .map(name => this.fleet.model(name))
         .filter(victim => victim !== undefined)
-        .filter(victim => this.mayGo(victim))
+        .filter(victim => this.isEvictable(victim))
         .map(victim => ({
           victim,
-          loss: this.lossOf(victim, at),
-          waitMs: this.unloadMs(victim, at),
+          loss: this.lossOf(victim, holder),
+          waitMs: this.unloadWaitMs(victim, holder),
         }));
-      this.known.set(at, victims);
+      this.cache.set(holder, victims);
     }
     return victims;
   }
 
   /**
-   * No copy goes while callers wait for its model, nor while another one of it
-   * is on its way: the plan counts that one, callers can't.
+   * A copy stays while callers wait for its model, or while another copy of the
+   * model is pending: the plan counts the pending one, but it cannot serve
+   * callers yet.
    */
-  private mayGo(victim: CopyModel): boolean {
-    return victim.waiting === 0 && this.fleet.comingCopies(victim.name) === 0;
+  private isEvictable(victim: CopyModel): boolean {
+    return victim.waiting === 0 && this.fleet.pendingCopies(victim.name) === 0;
   }
 
-  /** An unload waits for the longest of the runs under way. */
-  private unloadMs(victim: CopyModel, {runner}: PlannedRunner): number {
+  /** An unload waits for the longest of the requests in flight. */
+  private unloadWaitMs(victim: CopyModel, {runner}: PlannedRunner): number {
     const {idleThresholdMs, runDurationMs} = this.options;
     const isIdle = victim.idleMs >= idleThresholdMs;
     const runs = runner.inUse
@@ -102,27 +103,34 @@
     return runs === 0 ? 0 : runDurationMs * (1 + Math.log(runs));
   }
 
-  /** Callers lost by a move of demand to a model that nobody holds. */
-  private insuranceOf(victim: CopyModel, at: PlannedRunner): number {
-    const reloadMs = loadMsOf(victim, at);
+  /** Callers lost if demand moves to the model once nobody holds it. */
+  private demandShiftCost(victim: CopyModel, holder: PlannedRunner): number {
+    const reloadMs = loadMsOf(victim, holder);
     const {demandShiftShare} = this.options;
     const {requestsPerSecond, models} = this.fleet;
     const moved = (requestsPerSecond * demandShiftShare) / models.size;
     return (moved * reloadMs) / MS_PER_SECOND;
   }
 
-  private lossOf(victim: CopyModel, at: PlannedRunner): number {
+  private lossOf(victim: CopyModel, holder: PlannedRunner): number {
     const {fleet, options} = this;
     if (fleet.servingCopies(victim.name) > 1) {
-      const burdened = fleet.burdenedWithout(victim, at);
-      return Math.max(0, (burdened * options.horizonMs) / MS_PER_SECOND);
+      const lost = fleet.callersLostByRemoval(victim, holder);
+      return Math.max(0, (lost * options.horizonMs) / MS_PER_SECOND);
     }
-    return fleet.askedOverHorizon(victim) + this.insuranceOf(victim, at);
+    return (
+      fleet.callersOverHorizon(victim) + this.demandShiftCost(victim, holder)
+    );
   }
 }
 
-/** The first ones that are enough together; undefined if all aren't. */
-function takeUntil(victims: Victim[], missingMb: number): Victim[] | undefined {
+/**
+ * Returns the first copies that free enough memory, or undefined if all do not.
+ */
+function takeUntilEnough(
+  victims: Victim[],
+  missingMb: number,
+): Victim[] | undefined {
   let leftMb = missingMb;
   const taken: Victim[] = [];
   for (const each of victims) {
@@ -133,7 +141,7 @@
   return leftMb <= 0 ? taken : undefined;
 }
 
-function leastOf(
+function cheapestOf(
   victims: Victim[],
   costOf: (victim: Victim) => number,
 ): Victim {
@@ -142,7 +150,7 @@
   return least;
 }
 
-function together(chosen: Victim[]): Victims {
+function combine(chosen: Victim[]): Victims {
   return {
     models: chosen.map(({victim}) => victim),
     loss: chosen.reduce((sum, {loss}) => sum + loss, 0),
--- a/packages/banyanfold-decisions/src/copies/fleetCopies.ts
+++ b/packages/banyanfold-decisions/src/copies/fleetCopies.ts
@@ -5,63 +5,64 @@
   PlanCopiesOptions,
 } from './types.js';
 
-/** A runner with what the plan has decided about it so far. */
+/** A runner with the decisions of the plan so far applied to it. */
 export interface PlannedRunner {
   runner: CopyRunner;
-  /** Held, on their way, or those for which room is being made. */
+  /** Models that are held, being loaded, or having memory freed for them. */
   models: Set<string>;
   freeMb: number;
-  /** It has an order, or gets one by this plan. */
-  isTaken: boolean;
-  /** What its copies stand for. */
+  /** Whether it carries out an order already, or gets one in this plan. */
+  hasOrder: boolean;
+  /** Expected load of its copies. */
   load: RunnerLoad;
 }
 
-/** What a runner, or a share of a model's demand, has to bear. */
+/** Load of a runner, or of a share of a model's demand. */
 interface RunnerLoad {
-  /** Work and requests a second. */
+  /** Work and requests per second. */
   work: number;
   requests: number;
-  /** Requests that are under way at a time. */
+  /** Requests in flight at a time. */
   running: number;
 }
 
-/** A copy that doesn't serve yet. */
-interface ComingCopy {
-  at: PlannedRunner;
-  inMs: number;
-  /** Room is still being made, which takes as long as the runs there. */
-  needsRoom: boolean;
+/** A copy that does not serve yet. */
+interface PendingCopy {
+  holder: PlannedRunner;
+  readyMs: number;
+  /** Whether it waits for an unload, and so for requests there to finish. */
+  needsEviction: boolean;
 }
 
 const MS_PER_SECOND = 1000;
 const NO_LOAD: RunnerLoad = {work: 0, requests: 0, running: 0};
 
 /**
- * Which runner holds what, and how many callers that loses over the horizon.
+ * Tracks which runner holds which models, and estimates the callers lost over
+ * the horizon.
  *
- * The one currency of the plan: callers who get no answer, or a late one. A model
- * that nobody holds loses all who ask until a copy serves; a runner's callers get
- * late answers the more, the more work its copies stand for, since all that it
- * holds shares its batch.
+ * All costs and gains are numbers of callers without an answer or, at a lower
+ * weight, with a late one. A model without a copy loses all its callers until a
+ * copy serves. The more work the copies of a runner attract, the more of its
+ * callers get late answers, since all its models share one batch.
  */
 export class FleetCopies {
   readonly runners: PlannedRunner[];
   readonly models: ReadonlyMap<string, CopyModel>;
-  /** Of all models together. */
+  /** Total of all models. */
   readonly requestsPerSecond: number;
   private readonly holders = new Map<string, PlannedRunner[]>();
   private readonly serving = new Map<string, number>();
-  private readonly coming = new Map<string, ComingCopy[]>();
+  private readonly pending = new Map<string, PendingCopy[]>();
   private readonly largestMb: number;
-  /** Requests under way now, by model. */
+  /** Requests in flight now, by model. */
   private readonly running: ReadonlyMap<string, number>;
 
   constructor(
     input: CopyPlanInput,
     private readonly options: PlanCopiesOptions,
   ) {
-    const models = input.models.map(model => withSureRate(model, options));
+    const models = input.models.map(model => withConfidentRate(model, options));
     this.models = new Map(models.map(model => [model.name, model]));
     this.requestsPerSecond = models.reduce(
       (sum, model) => sum + model.requestsPerSecond,
@@ -72,20 +73,20 @@
       runner,
       models: new Set<string>(),
       freeMb: runner.weightsMb - runner.reservedMb,
-      isTaken: runner.isBusy,
+      hasOrder: runner.isBusy,
       load: NO_LOAD,
     }));
     this.running = runningByModel(input.runners);
-    for (const at of this.runners) this.addHeld(at);
-    for (const at of this.runners) this.weigh(at);
+    for (const holder of this.runners) this.addReportedCopies(holder);
+    for (const holder of this.runners) this.updateLoad(holder);
   }
 
   model(name: string): CopyModel | undefined {
     return this.models.get(name);
   }
 
-  /** Copies, with those to come. */
-  copies(name: string): number {
+  /** Number of copies, including pending ones. */
+  copyCount(name: string): number {
     return this.holders.get(name)?.length ?? 0;
   }
 
@@ -93,42 +94,51 @@
     return this.serving.get(name) ?? 0;
   }
 
-  comingCopies(name: string): number {
-    return this.coming.get(name)?.length ?? 0;
+  pendingCopies(name: string): number {
+    return this.pending.get(name)?.length ?? 0;
   }
 
-  /** Another copy is, or will be, in the failure domain. */
-  isInDomain(name: string, failureDomain: string): boolean {
+  /** Whether a copy is held or pending in the failure domain. */
+  hasCopyInDomain(name: string, failureDomain: string): boolean {
     const holders = this.holders.get(name) ?? [];
     return holders.some(({runner}) => runner.failureDomain === failureDomain);
   }
 
   /**
-   * Callers a second whom a runner loses under such a load: late answers, weighed,
-   * and beyond what it can read or has places for, all that is too much. Counted
-   * by late answers alone, a runner with four times its load would lose hardly
-   * fewer for a second copy elsewhere: 20 prompts a second went to one runner
-   * while 16 of 26 had none.
+   * Callers per second that a runner loses under a load: the weighted share of
+   * late answers, plus all requests beyond what it can read or has slots for.
+   * With late answers alone, a runner at four times its capacity would lose
+   * hardly fewer callers after a second copy is added elsewhere: 20 prompts per
+   * second went to one runner while 16 of 26 had none.
    */
-  private lostCallers({work, requests, running}: RunnerLoad, slots: number) {
+  private lostCallersPerSecond(
+    {work, requests, running}: RunnerLoad,
+    slots: number,
+  ) {
     const {halfLateWork, maxWork, lateWeight} = this.options;
     const square = (work / halfLateWork) ** 2;
     const late = (lateWeight * square) / (1 + square);
-    const places = Math.max(1, slots);
-    const excess = Math.max(1, work / maxWork, running / places);
+    const slotCount = Math.max(1, slots);
+    const excess = Math.max(1, work / maxWork, running / slotCount);
     const unserved = 1 - 1 / excess;
     return requests * (unserved + (1 - unserved) * late);
   }
 
-  /** Callers a second whom a change of a runner's load loses, or saves if negative. */
-  private lostBy({load, runner}: PlannedRunner, change: RunnerLoad): number {
+  /** Callers per second lost by a change of load; negative for saved ones. */
+  private callersLostBy(
+    {load, runner}: PlannedRunner,
+    change: RunnerLoad,
+  ): number {
     const {slots = Number.POSITIVE_INFINITY} = runner;
-    const after = plus(load, change);
-    return this.lostCallers(after, slots) - this.lostCallers(load, slots);
+    const after = addLoads(load, change);
+    return (
+      this.lostCallersPerSecond(after, slots) -
+      this.lostCallersPerSecond(load, slots)
+    );
   }
 
-  /** A share of what a model's callers ask for; negative for less of it. */
-  private shareOf(model: CopyModel, share: number): RunnerLoad {
+  /** Load of a share of a model's demand; negative for a negative share. */
+  private loadShare(model: CopyModel, share: number): RunnerLoad {
     return {
       work: this.workOf(model) * share,
       requests: model.requestsPerSecond * share,
@@ -136,33 +146,33 @@
     };
   }
 
-  /** Work a second of all copies; a larger model takes longer for the same. */
+  /** Work per second of all copies, in proportion to the model's size. */
   workOf(model: CopyModel): number {
     return (model.workPerSecond * model.weightsMb) / this.largestMb;
   }
 
-  /** Callers who ask for a model over the horizon, or wait for it now. */
-  askedOverHorizon(model: CopyModel): number {
-    return model.waiting + this.arrivingOverHorizon(model);
+  /** Callers that request the model within the horizon, or wait for it now. */
+  callersOverHorizon(model: CopyModel): number {
+    return model.waiting + this.arrivalsOverHorizon(model);
   }
 
   /**
-   * Callers lost over the horizon until a copy of the model serves. Those who
-   * wait now are lost the more, the later it comes; half of them are taken to
-   * stay for all of the horizon.
+   * Callers lost over the horizon until a copy of the model serves. Of those
+   * that wait now, more leave the later it is ready; half of them are assumed
+   * to stay for the whole horizon.
    */
-  absentCallers(
+  callersLostUntilReady(
     model: CopyModel,
     readyMs = this.readyInMs(model.name),
   ): number {
     const {horizonMs} = this.options;
     const share = Math.min(readyMs, horizonMs) / horizonMs;
     const lostOfWaiting = share < 1 ? share / 2 : 1;
-    const arriving = this.arrivingOverHorizon(model);
+    const arriving = this.arrivalsOverHorizon(model);
     return model.waiting * lostOfWaiting + arriving * share;
   }
 
-  private arrivingOverHorizon(model: CopyModel): number {
+  private arrivalsOverHorizon(model: CopyModel): number {
     const {horizonMs, demandReturnShare} = this.options;
     const returning =
       (model.longTermRequestsPerSecond ?? 0) * demandReturnShare;
@@ -171,109 +181,119 @@
   }
 
   /**
-   * Until a copy serves, infinite while none is to come.
+   * Time until a copy serves; infinite if none is pending.
    *
-   * @param countsRoom whether copies count for which room is still being made.
+   * @param includesEvictions whether to count copies for which memory is still
+   * being freed.
    */
-  readyInMs(name: string, countsRoom = true): number {
+  readyInMs(name: string, includesEvictions = true): number {
     if (this.servingCopies(name) > 0) return 0;
-    const coming = (this.coming.get(name) ?? []).filter(
-      ({needsRoom}) => countsRoom || !needsRoom,
+    const pending = (this.pending.get(name) ?? []).filter(
+      ({needsEviction}) => includesEvictions || !needsEviction,
     );
-    return Math.min(Number.POSITIVE_INFINITY, ...coming.map(c => c.inMs));
+    return Math.min(Number.POSITIVE_INFINITY, ...pending.map(c => c.readyMs));
   }
 
-  /** Callers a second whom a copy more saves at the runners that hold some. */
-  relievedAtHolders(model: CopyModel): number {
+  /** Callers per second that one more copy saves at the current holders. */
+  callersSavedAtHolders(model: CopyModel): number {
     const holders = this.holders.get(model.name) ?? [];
     const count = holders.length;
     if (count === 0) return 0;
-    const change = this.shareOf(model, 1 / (count + 1) - 1 / count);
+    const change = this.loadShare(model, 1 / (count + 1) - 1 / count);
     let saved = 0;
-    for (const at of holders) saved -= this.lostBy(at, change);
+    for (const holder of holders) saved -= this.callersLostBy(holder, change);
     return saved;
   }
 
-  /** Callers a second whom a copy more makes late at its own runner. */
-  burdenedAt(to: PlannedRunner, model: CopyModel): number {
-    const share = 1 / (this.copies(model.name) + 1);
-    return this.lostBy(to, this.shareOf(model, share));
+  /** Callers per second that one more copy loses at its own runner. */
+  callersLostAtTarget(target: PlannedRunner, model: CopyModel): number {
+    const share = 1 / (this.copyCount(model.name) + 1);
+    return this.callersLostBy(target, this.loadShare(model, share));
   }
 
-  /** Callers a second that the copies left lose when one here goes. */
-  burdenedWithout(model: CopyModel, from: PlannedRunner): number {
+  /**
+   * Callers per second that are lost at all holders when one copy is removed.
+   */
+  callersLostByRemoval(model: CopyModel, from: PlannedRunner): number {
     const holders = this.holders.get(model.name) ?? [];
     const count = holders.length;
-    const lessHere = this.shareOf(model, -1 / count);
-    const moreElsewhere = this.shareOf(model, 1 / (count - 1) - 1 / count);
+    const lessHere = this.loadShare(model, -1 / count);
+    const moreElsewhere = this.loadShare(model, 1 / (count - 1) - 1 / count);
     let lost = 0;
-    for (const at of holders) {
-      lost += this.lostBy(at, at === from ? lessHere : moreElsewhere);
+    for (const holder of holders) {
+      lost += this.callersLostBy(
+        holder,
+        holder === from ? lessHere : moreElsewhere,
+      );
     }
     return lost;
   }
 
-  /** A copy is on its way here. */
-  addComing(
-    to: PlannedRunner,
+  /** Adds a copy that is going to be loaded. */
+  addPending(
+    target: PlannedRunner,
     model: CopyModel,
-    {inMs, needsRoom}: {inMs: number; needsRoom: boolean},
+    {readyMs, needsEviction}: {readyMs: number; needsEviction: boolean},
   ): void {
-    this.hold(to, model.name);
-    append(this.coming, model.name, {at: to, inMs, needsRoom});
-    this.weighHolders(model.name);
+    this.addHolder(target, model.name);
+    append(this.pending, model.name, {holder: target, readyMs, needsEviction});
+    this.updateHolderLoads(model.name);
   }
 
   remove(from: PlannedRunner, model: CopyModel): void {
-    const left = this.holders.get(model.name)?.filter(at => at !== from) ?? [];
+    const left =
+      this.holders.get(model.name)?.filter(holder => holder !== from) ?? [];
     this.holders.set(model.name, left);
     this.serving.set(model.name, this.servingCopies(model.name) - 1);
     from.models.delete(model.name);
-    this.weigh(from);
-    this.weighHolders(model.name);
+    this.updateLoad(from);
+    this.updateHolderLoads(model.name);
   }
 
-  private addHeld(at: PlannedRunner): void {
-    const {runner} = at;
+  private addReportedCopies(holder: PlannedRunner): void {
+    const {runner} = holder;
     const {loadingModel, loadingLeftMs} = runner;
     const names = new Set(runner.models);
     if (loadingModel !== undefined) names.add(loadingModel);
     for (const name of names) {
-      at.freeMb -= this.models.get(name)?.weightsMb ?? 0;
+      holder.freeMb -= this.models.get(name)?.weightsMb ?? 0;
       const isLoading = name === loadingModel;
-      // One that may never come keeps its memory, and nobody waits for it.
+      // A copy that may never be ready takes its memory but is not waited for.
       if (isLoading && runner.isUnresponsive) continue;
-      this.hold(at, name);
+      this.addHolder(holder, name);
       if (!isLoading) {
         this.serving.set(name, this.servingCopies(name) + 1);
         continue;
       }
       const loadMs = this.models.get(name)?.storeLoadMs ?? 0;
-      const inMs = loadingLeftMs ?? loadMs;
-      append(this.coming, name, {at, inMs, needsRoom: false});
+      const readyMs = loadingLeftMs ?? loadMs;
+      append(this.pending, name, {holder, readyMs, needsEviction: false});
     }
   }
 
-  private hold(at: PlannedRunner, name: string): void {
-    at.models.add(name);
-    append(this.holders, name, at);
+  private addHolder(holder: PlannedRunner, name: string): void {
+    holder.models.add(name);
+    append(this.holders, name, holder);
   }
 
-  private weighHolders(name: string): void {
-    for (const at of this.holders.get(name) ?? []) this.weigh(at);
+  private updateHolderLoads(name: string): void {
+    for (const holder of this.holders.get(name) ?? []) this.updateLoad(holder);
   }
 
-  private weigh(at: PlannedRunner): void {
-    at.load = NO_LOAD;
-    for (const name of at.models) {
+  private updateLoad(holder: PlannedRunner): void {
+    holder.load = NO_LOAD;
+    for (const name of holder.models) {
       const model = this.models.get(name);
       if (!model) continue;
-      at.load = plus(at.load, this.shareOf(model, 1 / this.copies(name)));
+      holder.load = addLoads(
+        holder.load,
+        this.loadShare(model, 1 / this.copyCount(name)),
+      );
     }
   }
 }
 
-function plus(a: RunnerLoad, b: RunnerLoad): RunnerLoad {
+function addLoads(a: RunnerLoad, b: RunnerLoad): RunnerLoad {
   return {
     work: a.work + b.work,
     requests: a.requests + b.requests,
@@ -292,17 +312,21 @@
 }
 
 /**
- * Rates as far as they are sure: a few requests say little of what comes, many
- * do, and what was asked as often for long is as sure.
+ * Shrinks rates that rest on few requests, which are weak evidence of further
+ * demand. A rate that was as high over a longer time is kept.
  */
-function withSureRate(model: CopyModel, options: PlanCopiesOptions): CopyModel {
+function withConfidentRate(
+  model: CopyModel,
+  options: PlanCopiesOptions,
+): CopyModel {
   const {requestsPerSecond, longTermRequestsPerSecond = 0} = model;
   if (requestsPerSecond === 0) return model;
   const {smoothingMs, priorRequests} = options;
-  const seen = (requestsPerSecond * smoothingMs) / MS_PER_SECOND;
-  const sure = (requestsPerSecond * seen) / (seen + priorRequests);
+  const observedRequests = (requestsPerSecond * smoothingMs) / MS_PER_SECOND;
+  const confident =
+    (requestsPerSecond * observedRequests) / (observedRequests + priorRequests);
   const steady = Math.min(requestsPerSecond, longTermRequestsPerSecond);
-  const rate = Math.max(sure, steady);
+  const rate = Math.max(confident, steady);
   const share = rate / requestsPerSecond;
   return {
     ...model,
--- a/packages/banyanfold-decisions/src/copies/loadMsOf.ts
+++ b/packages/banyanfold-decisions/src/copies/loadMsOf.ts
@@ -1,7 +1,7 @@
 import type {PlannedRunner} from './fleetCopies.js';
 import type {CopyModel} from './types.js';
 
-/** How long a load there takes, from where the weights are. */
+/** Time to load a model at a runner, by where its weights are. */
 export function loadMsOf(model: CopyModel, {runner}: PlannedRunner): number {
   const {
     storeLoadMs,
--- a/packages/banyanfold-decisions/src/copies/types.ts
+++ b/packages/banyanfold-decisions/src/copies/types.ts
@@ -1,150 +1,158 @@
-/** A runner as the plan of copies sees it. */
+/** A runner, as input of {@link planCopies}. */
 export interface CopyRunner {
   runnerId: string;
   failureDomain: string;
+  /** Memory for weights. */
   weightsMb: number;
-  /** Kept free for adapters. */
+  /** Memory kept free for adapters. */
   reservedMb: number;
-  /** Held or on their way. */
+  /** Models that are held or being loaded. */
   models: readonly string[];
-  /** It carries out an order; it takes no other one until it is done. */
+  /** Whether it is carrying out an order; it takes one at a time. */
   isBusy: boolean;
-  /** An order of the last seconds got no answer: it may be about to go. */
+  /** Whether it left a recent order unanswered; it may be shutting down. */
   isUnresponsive?: boolean;
-  /** Requests that run at once; without it any number does. */
+  /** Requests that run at once; unlimited if undefined. */
   slots?: number;
-  /** Requests under way there, by model; without it idle times tell. */
+  /** Requests in flight by model; if undefined, idle times are used. */
   inUse?: Readonly<Record<string, number>>;
   inMemory: readonly string[];
   onDisk: readonly string[];
-  /** A model for which room was made here. */
+  /** The model for which memory was freed here. */
   intendedModel?: string;
   /** The model that is being loaded. */
   loadingModel?: string;
-  /** Until it is loaded, as far as is known. */
+  /** Time until that model is loaded, if known. */
   loadingLeftMs?: number;
 }
 
+/** A model, as input of {@link planCopies}. */
 export interface CopyModel {
   name: string;
   weightsMb: number;
-  /** A load from the weight store takes this long. */
+  /** Time of a load from the weight store. */
   storeLoadMs: number;
-  /** From a runner's disk and from its memory. */
+  /** Time of a load from a runner's disk, and from its memory. */
   diskLoadMs?: number;
   memoryLoadMs?: number;
-  /** Smoothed work a second that is asked for, over all entries. */
+  /** Smoothed work per second requested at all entries. */
   workPerSecond: number;
-  /** Smoothed requests a second, likewise. */
+  /** Smoothed requests per second at all entries. */
   requestsPerSecond: number;
-  /** The same over a longer time: demand that left may return. */
+  /** The same over a longer time: demand that has moved away may return. */
   longTermRequestsPerSecond?: number;
-  /** Requests that wait for a copy, or for a place for their adapter, now. */
+  /** Requests that wait now, for a copy or for a slot for their adapter. */
   waiting: number;
-  /** Since the last request for it. */
+  /** Time since the last request for the model. */
   idleMs: number;
 }
 
 export interface CopyPlanInput {
   runners: readonly CopyRunner[];
   models: readonly CopyModel[];
-  /** Loads that the weight store allows now. */
+  /** Number of loads that the weight store allows now. */
   storeLoadsLeft: number;
-  /** False while demand has been heard of too shortly to give copies up for it. */
+  /** False while demand was observed too briefly to evict copies for it. */
   canEvict?: boolean;
 }
 
+/** An order to a runner to load or unload a copy. */
 export interface CopyOrder {
   kind: 'load' | 'unload';
   runnerId: string;
   model: string;
-  /** A load from the weight store counts against its rate. */
+  /** Whether the load counts against the rate of the weight store. */
   isFromStore: boolean;
-  /** Of an unload: the model that is to come. */
+  /** For an unload: the model that is to be loaded instead. */
   roomFor?: string;
   reason: string;
 }
 
-/** What a plan weighs with; callers are counted over the horizon. */
+/** Weights and thresholds of a plan; callers are counted over the horizon. */
 export interface PlanCopiesOptions {
   /**
-   * Demand is taken to last so long, in ms. Longer than an unload that waits for
-   * runs and a load together, up to 8 s, or a copy that takes as long would be
-   * worth nothing. Not measured alone.
+   * Time for which demand is assumed to last, in ms. It exceeds the time of a
+   * load after an unload that waits for requests to finish, up to 8 s;
+   * otherwise a copy that takes this long would be worth nothing.
    */
   horizonMs: number;
   /**
-   * Work a second, in thousands of prompt tokens of the largest model, at which
-   * half of a runner's callers get a late answer: engines read 38 to 41 thousand.
+   * Work per second, in thousands of prompt tokens of the largest model, at
+   * which half of the callers of a runner get a late answer. Engines read
+   * 38,000 to 41,000 tokens per second.
    */
   halfLateWork: number;
   /**
-   * Work a second that a runner gets through; what comes beyond isn't served.
-   * Twice what engines read: half of the prompts asked for was kept from before,
-   * over a busy day of 26 runners.
+   * Work per second that a runner completes; work beyond it is not served. It
+   * is twice what engines read, because on a busy day of 26 runners half of the
+   * requested prompt tokens were cached.
    */
   maxWork: number;
-  /** What a late answer counts against one that is not given at all. */
+  /** Cost of a late answer, relative to no answer. */
   lateWeight: number;
   /**
-   * One run under way keeps an unload waiting for so long, in ms, several for
-   * the longest of them: with 30 streams of some 2 s it took up to 10 s, in
-   * which the runner took no other order.
+   * Time for which one request in flight delays an unload, in ms. Several
+   * requests delay it until the longest has finished: with 30 streams of about
+   * 2 s, an unload took up to 10 s, during which the runner took no other
+   * order.
    */
   runDurationMs: number;
-  /** Without a request for this long no run keeps an unload waiting, in ms. */
+  /** After this time without a request, no request delays an unload, in ms. */
   idleThresholdMs: number;
   /**
-   * Share of all demand that moves to other models within the horizon, to any of
-   * them alike; a last copy is worth so many callers for each second of a load.
-   * With a tenth for each model, whatever their number, 76 rare ones kept the
-   * memory of 26 runners while 20 prompts a second went to one copy.
+   * Share of all demand that moves to other models within the horizon, with the
+   * same probability for each model. The last copy of a model is worth that
+   * many callers for each second of a load. With a tenth for each model,
+   * whatever the number of models, 76 rare models kept the memory of 26 runners
+   * while one copy received 20 prompts per second.
    */
   demandShiftShare: number;
-  /** A runner that left an order unanswered is taken for so much slower, in ms. */
+  /** Load time added for a runner that left an order unanswered, in ms. */
   unresponsivePenaltyMs: number;
-  /** Callers lost for each second in which an unload keeps a runner's orders. */
+  /** Callers lost per second that an unload blocks a runner's other orders. */
   unloadWaitCostPerSecond: number;
   /**
-   * A copy in place of another one, of a model that one is on its way for, must
-   * save so many callers: four of a rare model were begun within 0.3 s.
+   * Minimum gain of a copy that needs an eviction while another copy of the
+   * model is pending. With a smaller one, four loads of a rare model began
+   * within 0.3 s.
    */
   minGainWhilePending: number;
-  /** Smoothed rates look back so far, in ms. */
+  /** Time constant of the smoothed rates, in ms. */
   smoothingMs: number;
   /**
-   * A rate counts as if so many more requests had been possible and not come. A
-   * smoothed rate begins with whoever asks first: one request of a rare model
-   * passes for 0.7 a second.
+   * Number of possible requests that count as not received when a rate is
+   * estimated. A smoothed rate starts from the first requests: one request for
+   * a rare model gives 0.7 per second.
    */
   priorRequests: number;
-  /** Share of the usual demand that may return within the horizon; reasoned. */
+  /** Share of the long-term demand that may return within the horizon. */
   demandReturnShare: number;
-  /** A move must save so many callers over the horizon, and more. */
+  /** Minimum number of callers that a move must save over the horizon. */
   minGain: number;
-  /** A move that takes a copy away must gain so many times what that loses. */
+  /** An eviction must save this many times the callers that it loses. */
   minGainToLossRatio: number;
-  /** Callers that a load from the weight store must save besides. */
+  /** Additional callers that a load from the weight store must save. */
   storeLoadCost: number;
-  /** The same for a load that only relieves runners: loads have a price. */
+  /** The same for a load that only relieves runners; loads have a price. */
   storeReliefCost: number;
-  /** Callers that a copy in another failure domain is worth: it outlives one. */
+  /** Value, in callers, of a copy that survives the loss of other domains. */
   newDomainGain: number;
   /**
-   * So many requests that wait although runners hold their model are worth one
-   * copy more: the places for its adapters there are all in use. One runner was
-   * asked for 16 adapters at five places, and 87 callers waited 5 s on average.
+   * Number of requests waiting at runners that hold their model that justify
+   * one more copy: all slots for adapters are in use there. At one runner, 16
+   * adapters were requested for five slots, and 87 callers waited 5 s on
+   * average.
    */
   waitingPerCopy: number;
   /**
-   * Of a model with more copies than this, one makes way for a model that has
-   * none while nobody waits; three stand the loss of a runner and one more that
-   * is being emptied.
+   * While no caller waits, a model with more copies than this gives one up for
+   * a model that has none. Three copies tolerate the loss of one runner while
+   * another one is drained.
    */
   protectedCopies: number;
   /**
-   * Only a model whose load takes longer, in ms, is brought in place of another
-   * in advance: callers of rare models wait 2.5 s and more.
+   * Only a model whose load takes longer than this, in ms, replaces another one
+   * in advance, because callers of rare models wait 2.5 s and more.
    */
   slowLoadMs: number;
 }
--- a/packages/banyanfold-decisions/src/planCopies.ts
+++ b/packages/banyanfold-decisions/src/planCopies.ts
@@ -12,16 +12,17 @@
 export * from './copies/types.js';
 
 /**
- * Plans orders on copies of models: always the copy that saves most callers
- * next, counted over a horizon, with the way to it. What makes way costs the
- * callers of its model, an unload waits for runs, and a load takes as long as
- * from where the weights are. A runner gets one order at a time; one that left an
- * order unanswered counts as slow, and nobody waits for what it was to load. In
- * quiet times models that nobody holds come back.
+ * Plans loads and unloads of model copies. It repeatedly takes the move that
+ * saves the most callers over a horizon. The cost of a move includes the
+ * callers of evicted models, the time until requests finish before an unload,
+ * and the load time from where the weights are. A runner gets one order at a
+ * time. A runner that left an order unanswered counts as slow, and the copy
+ * that it was to load is not waited for. While no callers wait, models without
+ * a copy are loaded again.
  *
- * Answers demand that moves to other models within seconds, and more models
- * than memory: rare ones make way for those that are asked for, as far as that
- * loses fewer callers than it saves.
+ * Designed for demand that moves to other models within seconds, and for more
+ * models than memory: rare models are evicted for requested ones as long as
+ * that loses fewer callers than it saves.
  *
  * @example planCopies({runners, models, storeLoadsLeft: 1})[0]?.kind
  */
@@ -30,13 +31,13 @@
   options: PlanCopiesOptions = DEFAULT_PLAN_COPIES_OPTIONS,
 ): CopyOrder[] {
   const plan = new Plan(input, options);
-  plan.useRoomMade();
-  plan.takeBestMoves();
-  plan.keepReachable();
+  plan.useClearedMemory();
+  plan.applyBestMoves();
+  plan.restoreUnheldModels();
   return plan.orders;
 }
 
-/** One plan in the making: what it orders counts for its next decisions. */
+/** A plan in progress; its orders so far affect its next decisions. */
 class Plan {
   readonly orders: CopyOrder[] = [];
   private readonly fleet: FleetCopies;
@@ -54,122 +55,141 @@
   }
 
   /**
-   * Room that was made for a model is used for it. Without this the next
-   * decision may give it to what just made way, and both come and go by turns.
+   * Loads each model for which memory was freed. Otherwise the next decision
+   * may give the memory back to the evicted model, and the two would replace
+   * each other in turn.
    */
-  useRoomMade(): void {
+  useClearedMemory(): void {
     for (const to of this.fleet.runners) {
       const model = this.fleet.model(to.runner.intendedModel ?? '');
       if (!model || to.models.has(model.name)) continue;
-      if (to.isTaken) this.noteRoomToCome(to, model);
+      if (to.hasOrder) this.addPendingCopy(to, model);
       else if (to.freeMb >= model.weightsMb) this.load(to, model, 'room-made');
-      else this.makeMoreRoom(to, model);
+      else this.clearMoreMemory(to, model);
     }
   }
 
-  /** Callers need not wait for the room while a copy elsewhere is sooner. */
-  private noteRoomToCome(to: PlannedRunner, model: CopyModel): void {
-    if (to.runner.isUnresponsive) return;
-    const inMs = UNLOAD_MS + loadMsOf(model, to);
-    this.fleet.addComing(to, model, {inMs, needsRoom: true});
+  /**
+   * Counts as needing an eviction, so that callers don't wait for it while
+   * another copy is sooner.
+   */
+  private addPendingCopy(target: PlannedRunner, model: CopyModel): void {
+    if (target.runner.isUnresponsive) return;
+    const readyMs = UNLOAD_MS + loadMsOf(model, target);
+    this.fleet.addPending(target, model, {readyMs, needsEviction: true});
   }
 
-  private makeMoreRoom(to: PlannedRunner, model: CopyModel): void {
-    const move = this.moves.moveTo(to, model, this.loadsLeft);
-    if (move) this.take(move);
+  private clearMoreMemory(target: PlannedRunner, model: CopyModel): void {
+    const move = this.moves.reevaluate(target, model, this.loadsLeft);
+    if (move) this.applyMove(move);
   }
 
   /**
-   * Takes the best move, again and again. A move that was taken makes most others
-   * worth less, hardly any worth more, so that only the one that seems best is
-   * looked at anew, until it is.
+   * Takes the best move repeatedly. A move that was taken lowers the gain of
+   * most other moves and raises hardly any, so only the move that is first in
+   * the list is evaluated again, until it stays first.
    */
-  takeBestMoves(): void {
-    const moves = this.moves.all(this.loadsLeft);
+  applyBestMoves(): void {
+    const moves = this.moves.findMoves(this.loadsLeft);
     while (moves.length > 0) {
-      const seeming = moves.shift()!;
-      const move = this.moves.moveTo(seeming.to, seeming.model, this.loadsLeft);
+      const candidate = moves.shift()!;
+      const move = this.moves.reevaluate(
+        candidate.target,
+        candidate.model,
+        this.loadsLeft,
+      );
       if (!move) continue;
       const next = moves[0];
-      // A gain that is no number would be put back for ever.
-      if (!next || !(move.gain < next.gain)) this.take(move);
+      // A gain of NaN would be reinserted forever.
+      if (!next || !(move.gain < next.gain)) this.applyMove(move);
       else insertByGain(moves, move);
     }
   }
 
-  /** In quiet times models that nobody holds come back. */
-  keepReachable(): void {
+  /** Loads models that nobody holds while no callers wait. */
+  restoreUnheldModels(): void {
     const models = [...this.fleet.models.values()];
-    const isAnyoneWaiting = models.some(({waiting}) => waiting > 0);
-    if (this.orders.length > 0 || isAnyoneWaiting) return;
+    const areCallersWaiting = models.some(({waiting}) => waiting > 0);
+    if (this.orders.length > 0 || areCallersWaiting) return;
     const orphans = models
-      .filter(({name}) => this.fleet.copies(name) === 0)
-      .sort(byWant);
-    for (const orphan of orphans) this.bringBack(orphan);
+      .filter(({name}) => this.fleet.copyCount(name) === 0)
+      .sort(byDemand);
+    for (const orphan of orphans) this.restore(orphan);
   }
 
-  private bringBack(orphan: CopyModel): void {
+  private restore(orphan: CopyModel): void {
     const [target] = this.fleet.runners
-      .filter(to => !to.isTaken && to.freeMb >= orphan.weightsMb)
-      .filter(to => this.canFetch(to, orphan))
+      .filter(runner => !runner.hasOrder && runner.freeMb >= orphan.weightsMb)
+      .filter(runner => this.canLoad(runner, orphan))
       .sort((a, b) => a.load.work - b.load.work);
     if (target) this.load(target, orphan, 'room');
     else if (orphan.storeLoadMs > this.options.slowLoadMs) {
-      this.replaceOneOfMany(orphan);
+      this.replaceSpareCopy(orphan);
     }
   }
 
-  /** A copy of the model that has most of them makes way. */
-  private replaceOneOfMany(orphan: CopyModel): void {
-    const [choice] = this.fleet.runners
-      .filter(to => !to.isTaken && this.canFetch(to, orphan))
-      .flatMap(to => this.sparedBy(to, orphan).map(victim => ({to, victim})))
+  /** Evicts a copy of the model with the most copies. */
+  private replaceSpareCopy(orphan: CopyModel): void {
+    const [cheapest] = this.fleet.runners
+      .filter(target => !target.hasOrder && this.canLoad(target, orphan))
+      .flatMap(target =>
+        this.spareModelsAt(target, orphan).map(victim => ({target, victim})),
+      )
       .sort(
         (a, b) =>
-          this.fleet.copies(b.victim.name) - this.fleet.copies(a.victim.name) ||
-          a.to.load.work - b.to.load.work,
+          this.fleet.copyCount(b.victim.name) -
+            this.fleet.copyCount(a.victim.name) ||
+          a.target.load.work - b.target.load.work,
       );
-    if (choice) this.makeRoom(choice.to, choice.victim, orphan);
+    if (cheapest) this.evict(cheapest.target, cheapest.victim, orphan);
   }
 
-  /** Models of which a copy here is one of many, and large enough. */
-  private sparedBy(to: PlannedRunner, orphan: CopyModel): CopyModel[] {
+  /** Models at the runner with copies to spare that free enough memory. */
+  private spareModelsAt(target: PlannedRunner, orphan: CopyModel): CopyModel[] {
     const {protectedCopies, minGain, horizonMs} = this.options;
-    return [...to.models]
+    return [...target.models]
       .map(name => this.fleet.model(name))
       .filter(victim => victim !== undefined)
       .filter(victim => {
         const left = this.fleet.servingCopies(victim.name) - 1;
         if (left < protectedCopies) return false;
-        const burdened = this.fleet.burdenedWithout(victim, to) * horizonMs;
-        const isSpare = burdened / MS_PER_SECOND < minGain;
-        return isSpare && to.freeMb + victim.weightsMb >= orphan.weightsMb;
+        const lost =
+          this.fleet.callersLostByRemoval(victim, target) * horizonMs;
+        const isSpare = lost / MS_PER_SECOND < minGain;
+        return isSpare && target.freeMb + victim.weightsMb >= orphan.weightsMb;
       });
   }
 
-  private take({to, model, victims, isFromStore, readyMs, reason}: CopyMove) {
+  private applyMove({
+    target,
+    model,
+    victims,
+    isFromStore,
+    readyMs,
+    reason,
+  }: CopyMove) {
     const [victim] = victims;
     if (victim) {
-      // The load that is to follow counts against the rate by now.
+      // The load that follows counts against the store rate already.
       if (isFromStore) this.loadsLeft -= 1;
-      this.makeRoom(to, victim, model);
+      this.evict(target, victim, model);
     } else {
-      this.load(to, model, reason);
+      this.load(target, model, reason);
     }
-    if (to.models.has(model.name)) return;
-    this.fleet.addComing(to, model, {inMs: readyMs, needsRoom: true});
+    if (target.models.has(model.name)) return;
+    this.fleet.addPending(target, model, {readyMs, needsEviction: true});
   }
 
-  private makeRoom(
-    to: PlannedRunner,
+  private evict(
+    target: PlannedRunner,
     victim: CopyModel,
     model: CopyModel,
   ): void {
-    to.isTaken = true;
-    this.fleet.remove(to, victim);
+    target.hasOrder = true;
+    this.fleet.remove(target, victim);
     this.orders.push({
       kind: 'unload',
-      runnerId: to.runner.runnerId,
+      runnerId: target.runner.runnerId,
       model: victim.name,
       isFromStore: false,
       roomFor: model.name,
@@ -177,42 +197,42 @@
     });
   }
 
-  private load(to: PlannedRunner, model: CopyModel, reason: string): void {
-    if (!this.canFetch(to, model)) return;
-    const isFromStore = !isNear(to, model);
+  private load(target: PlannedRunner, model: CopyModel, reason: string): void {
+    if (!this.canLoad(target, model)) return;
+    const isFromStore = !hasLocalWeights(target, model);
     if (isFromStore) this.loadsLeft -= 1;
-    to.isTaken = true;
-    to.freeMb -= model.weightsMb;
-    const inMs = loadMsOf(model, to);
-    this.fleet.addComing(to, model, {inMs, needsRoom: false});
+    target.hasOrder = true;
+    target.freeMb -= model.weightsMb;
+    const readyMs = loadMsOf(model, target);
+    this.fleet.addPending(target, model, {readyMs, needsEviction: false});
     this.orders.push({
       kind: 'load',
-      runnerId: to.runner.runnerId,
+      runnerId: target.runner.runnerId,
       model: model.name,
       isFromStore,
       reason,
     });
   }
 
-  private canFetch(to: PlannedRunner, model: CopyModel): boolean {
-    return isNear(to, model) || this.loadsLeft >= 1;
+  private canLoad(target: PlannedRunner, model: CopyModel): boolean {
+    return hasLocalWeights(target, model) || this.loadsLeft >= 1;
   }
 }
 
 const MS_PER_SECOND = 1000;
-/** From the end of the runs to a report that shows the room; 0.2 to 0.3 s. */
+/** Time from the last request to a report of free memory; 0.2 to 0.3 s. */
 const UNLOAD_MS = 300;
 
 function insertByGain(moves: CopyMove[], move: CopyMove): void {
-  const at = moves.findIndex(({gain}) => gain < move.gain);
-  moves.splice(at < 0 ? moves.length : at, 0, move);
+  const index = moves.findIndex(({gain}) => gain < move.gain);
+  moves.splice(index < 0 ? moves.length : index, 0, move);
 }
 
-function isNear({runner}: PlannedRunner, {name}: CopyModel): boolean {
+function hasLocalWeights({runner}: PlannedRunner, {name}: CopyModel): boolean {
   return runner.inMemory.includes(name) || runner.onDisk.includes(name);
 }
 
-function byWant(a: CopyModel, b: CopyModel): number {
+function byDemand(a: CopyModel, b: CopyModel): number {
   if (a.workPerSecond !== b.workPerSecond) {
     return b.workPerSecond - a.workPerSecond;
   }
