--- a/packages/banyanfold-decisions/src/decidePlacement.ts
+++ b/packages/banyanfold-decisions/src/decidePlacement.ts
@@ -8,11 +8,11 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Proposes moves: first a copy of each labelled artifact that has none, then
- * extra copies of hot ones where the gain is worth the price, then a change of
- * role. A copy is retired only for memory that one of these needs, and only
- * relying on held copies elsewhere. Agents judge each proposal; nothing here
- * commits memory.
+ * Proposes moves: first a copy of each published artifact that has none, then
+ * extra copies of hot ones whose gain exceeds their cost, then a change of
+ * role. A copy is retired only to free memory for one of these, and only if
+ * held copies elsewhere can be relied on. Agents accept or reject each
+ * proposal; the decision itself commits no memory.
  *
  * @example
  * for (const move of decidePlacement(view, clock.nowMs()).moves) propose(move);
@@ -28,12 +28,12 @@
     options,
   );
   const blocked = placeOrphans(plan, options, isRequested);
-  // Callers are refused at an overloaded runner, while nobody asks for the
-  // other orphans yet. Turn about, so that neither keeps the other waiting.
+  // An overloaded runner refuses callers, while nobody requests the remaining
+  // orphans yet. The two take turns, so that neither delays the other for long.
   if (!blocked && isOverloadTurn(nowMs)) addHotCopies(plan, options, FULL_LOAD);
   const othersBlocked = placeOrphans(plan, options, o => !isRequested(o));
   // An extra copy would take the memory that is being released for an orphan,
-  // which would stay out of reach while others are retired for it in turn.
+  // and more copies would be retired for the orphan in turn.
   if (!othersBlocked) addHotCopies(plan, options, options.highUtilization);
   changeRole(plan, nowMs, options);
   return {moves: plan.moves, unplaced: plan.unplaced};
@@ -43,7 +43,7 @@
   return Math.floor(nowMs / MS_PER_SECOND) % 2 === 0;
 }
 
-/** How many loads the weight store takes now. */
+/** Number of loads that the weight store accepts now. */
 function allowedLoads(
   view: PlacementView,
   nowMs: number,
@@ -51,7 +51,9 @@
 ): number {
   const atOnce = options.loadsAtOnce - view.loadsInFlight;
   const sinceMs = nowMs - view.lastLoadMs;
-  const earned = Math.floor((sinceMs * options.loadsPerSecond) / MS_PER_SECOND);
+  const accrued = Math.floor(
+    (sinceMs * options.loadsPerSecond) / MS_PER_SECOND,
+  );
   const burst = Math.max(1, Math.floor(options.loadsPerSecond));
-  return Math.max(0, Math.min(atOnce, earned, burst));
+  return Math.max(0, Math.min(atOnce, accrued, burst));
 }
--- a/packages/banyanfold-decisions/src/placement/addHotCopies.ts
+++ b/packages/banyanfold-decisions/src/placement/addHotCopies.ts
@@ -1,14 +1,19 @@
 import type {PlacementOptions} from '../options.js';
 import type {PlacementArtifact, PlacementCopy} from '../types.js';
 import {rankTargets} from './chooseTarget.js';
-import {adaptersOn, findRoom, retireAll, type Room} from './freeMemory.js';
+import {
+  adaptersOn,
+  findRetirements,
+  retireAll,
+  type Retirements,
+} from './freeMemory.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
 const MS_PER_SECOND = 1000;
-/** Above this callers are refused at a runner. */
+/** Above this load, a runner refuses requests. */
 export const FULL_LOAD = 1;
 
-/** Plans extra copies of what keeps runners busy above a load. */
+/** Plans extra copies of the artifacts that keep runners above a load. */
 export function addHotCopies(
   plan: PlacementPlan,
   options: PlacementOptions,
@@ -23,14 +28,16 @@
   }
 }
 
-/** What a copy of an artifact takes over from a busy runner. */
+/** An artifact on a busy runner that may get an extra copy. */
 interface Candidate {
   artifact: PlacementArtifact;
-  /** Requests a second for it; for a model, with those for its adapters. */
+  /**
+   * Requests per second for it; for a model, including those for its adapters.
+   */
   demandPerSecond: number;
-  /** Slots that the demand keeps in use on the busy runner. */
+  /** Slots that this demand keeps in use on the busy runner. */
   sourceSlots: number;
-  /** The price of its load, with its adapters', in moves of a model. */
+  /** Cost of loading it with its adapters, in moves of a model. */
   loadPrice: number;
 }
 
@@ -46,7 +53,7 @@
   }
 }
 
-/** Artifacts on a runner, those that keep it busiest first. */
+/** Artifacts on a runner, those with the most slots in use first. */
 function candidatesOn(
   plan: PlacementPlan,
   source: PlannedRunner,
@@ -63,7 +70,7 @@
     candidates.push({
       artifact,
       demandPerSecond: sum(members.map(member => member.demandPerSecond)),
-      sourceSlots: sum(members.map(m => plan.slotsShareOf(m.artifact))),
+      sourceSlots: sum(members.map(m => plan.slotsPerCopy(m.artifact))),
       loadPrice: sum(members.map(member => movePrice(member, options))),
     });
   }
@@ -78,30 +85,37 @@
 ): boolean {
   const {artifact} = candidate;
   for (const {target} of rankTargets(plan, artifact)) {
-    const room = findRoom(
+    const retirements = findRetirements(
       plan,
       target,
       artifact.bytes,
       artifact.modelArtifact,
       copy => isSpare(plan, source, target, copy, options),
     );
-    if (!room) continue;
+    if (!retirements) continue;
     const movedPerSecond = movedRate(plan, source, target, candidate);
-    const price = candidate.loadPrice + priceOf(plan, room, options);
+    const price =
+      candidate.loadPrice + retirementPrice(plan, retirements, options);
     if (!isWorthwhile(movedPerSecond, price, options)) continue;
     if (target.freeBytes >= artifact.bytes) {
       plan.load(target, artifact, `hot: +${movedPerSecond.toFixed(2)}/s`);
     }
-    retireAll(plan, target, room.copies, `room-for ${artifact.artifact}`);
+    retireAll(
+      plan,
+      target,
+      retirements.copies,
+      `room-for ${artifact.artifact}`,
+    );
     return true;
   }
   return false;
 }
 
 /**
- * A copy that nobody used for long may go. In a burst none is idle; for a
- * runner far over its slots one in use may go, if the other holders are little
- * used. With a weaker condition they would be the next to refuse callers.
+ * Whether a copy may be retired for an extra copy. That holds for a copy that
+ * was idle for long. In a burst no copy is idle, so for a runner far over its
+ * slots a copy in use may be retired too if its other holders have a low load;
+ * under a weaker condition they would be the next to refuse requests.
  */
 function isSpare(
   plan: PlacementPlan,
@@ -112,15 +126,15 @@
 ): boolean {
   if (copy.idleMs >= options.retireIdleMs) return true;
   if (source.load < options.severeLoad) return false;
-  const others = plan.servers(copy.artifact).filter(o => o !== target);
-  const slotsEach = plan.slotsShareOf(copy.artifact) / others.length;
+  const others = plan.servingRunners(copy.artifact).filter(o => o !== target);
+  const slotsEach = plan.slotsPerCopy(copy.artifact) / others.length;
   return others.every(
     other =>
       other.load + slotsEach / plan.slotsOf(other) < options.lowUtilization,
   );
 }
 
-/** Requests a second that would move from the source to the target. */
+/** Requests per second that would move from the source to the target. */
 function movedRate(
   plan: PlacementPlan,
   source: PlannedRunner,
@@ -128,7 +142,8 @@
   {artifact, demandPerSecond}: Candidate,
 ): number {
   const copies = plan.holders(artifact.artifact).length;
-  const newSharePerSecond = (demandPerSecond * source.surge) / (copies + 1);
+  const newSharePerSecond =
+    (demandPerSecond * source.demandFactor) / (copies + 1);
   const slotsForOne = plan.slotsFor(artifact, 1);
   const spareSlots = ((source.load - target.load) / 2) * plan.slotsOf(target);
   return Math.min(newSharePerSecond, spareSlots / slotsForOne);
@@ -141,14 +156,14 @@
   return artifact === modelArtifact ? 1 : options.adapterMoveShare;
 }
 
-/** The price of making room; what isn't published any more goes anyway. */
-function priceOf(
+/** Cost of the retirements; free for artifacts no longer published. */
+function retirementPrice(
   plan: PlacementPlan,
-  room: Room,
+  retirements: Retirements,
   options: PlacementOptions,
 ): number {
   return sum(
-    room.copies.map(({artifact}) => {
+    retirements.copies.map(({artifact}) => {
       const published = plan.artifacts.get(artifact);
       return published ? movePrice(published, options) : 0;
     }),
--- a/packages/banyanfold-decisions/src/placement/changeRole.ts
+++ b/packages/banyanfold-decisions/src/placement/changeRole.ts
@@ -4,13 +4,13 @@
 interface RoleLoad {
   runnerRole: string;
   runners: PlannedRunner[];
-  /** Mean queue over the role's runners. */
+  /** Mean queue length over the runners of the role. */
   queued: number;
 }
 
 const IDLE_QUEUED = 0.5;
 
-/** Gives a drowning role one runner of a role that is idle. */
+/** Moves one runner from an idle role to an overloaded one. */
 export function changeRole(
   plan: PlacementPlan,
   nowMs: number,
@@ -18,22 +18,22 @@
 ): void {
   if (nowMs - options.lastRoleChangeMs < options.roleHoldMs) return;
   const roles = loadByRole(plan);
-  const drowning = roles.at(-1);
-  if (!drowning || drowning.queued < options.drowningQueued) return;
+  const overloaded = roles.at(-1);
+  if (!overloaded || overloaded.queued < options.drowningQueued) return;
   const donor = roles.find(
     ({runners, queued}) =>
       queued < IDLE_QUEUED && runners.length > options.minRunnersPerRole,
   );
-  if (!donor || donor === drowning) return;
+  if (!donor || donor === overloaded) return;
   const chosen = [...donor.runners].sort((a, b) => a.load - b.load)[0]!;
   plan.setRole(
     chosen,
-    drowning.runnerRole,
-    `${drowning.runnerRole} queues ${drowning.queued.toFixed(1)} a runner`,
+    overloaded.runnerRole,
+    `${overloaded.runnerRole} queues ${overloaded.queued.toFixed(1)} a runner`,
   );
 }
 
-/** Roles with their mean queue, the least loaded first. */
+/** Returns the roles with their mean queue lengths, shortest first. */
 function loadByRole(plan: PlacementPlan): RoleLoad[] {
   const byRole = new Map<string, PlannedRunner[]>();
   for (const planned of plan.runners.values()) {
--- a/packages/banyanfold-decisions/src/placement/chooseTarget.ts
+++ b/packages/banyanfold-decisions/src/placement/chooseTarget.ts
@@ -1,12 +1,12 @@
 import type {PlacementArtifact} from '../types.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
-/** Weights of what makes a target worse; each is one full runner's load. */
+/** Penalties of a target; 1 is the load of one full runner. */
 const SAME_DOMAIN_COST = 1;
 const OTHER_ROLE_COST = 1.5;
 const FULLNESS_COST = 0.25;
 
-/** Whether a runner could serve the artifact, were there memory. */
+/** Whether a runner could serve the artifact, regardless of its free memory. */
 export function isEligible(
   target: PlannedRunner,
   artifact: PlacementArtifact,
@@ -16,13 +16,13 @@
   return target.copies.get(artifact.modelArtifact)?.state === 'held';
 }
 
-/** A runner that could take an artifact; a lower cost is better. */
+/** A runner that can take an artifact; a lower cost is better. */
 export interface Target {
   target: PlannedRunner;
   cost: number;
 }
 
-/** Runners that could take the artifact, best first; memory is not asked. */
+/** Runners that can take the artifact, best first; ignores free memory. */
 export function rankTargets(
   plan: PlacementPlan,
   artifact: PlacementArtifact,
--- a/packages/banyanfold-decisions/src/placement/freeMemory.ts
+++ b/packages/banyanfold-decisions/src/placement/freeMemory.ts
@@ -1,58 +1,63 @@
 import type {PlacementCopy} from '../types.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
-/** Copies that go together: a model's with its adapters', or one adapter's. */
+/**
+ * Copies that are retired together: a model with its adapters, or one adapter.
+ */
 export interface Bundle {
   copies: PlacementCopy[];
   bytes: number;
 }
 
-/** What has to go from a runner so that an artifact fits. */
-export interface Room {
+/** Copies to retire on a runner so that an artifact fits. */
+export interface Retirements {
   copies: PlacementCopy[];
-  /** Slots that the copies keep in use, and that others must take over. */
+  /** Slots that the copies keep in use, which other runners must take over. */
   lostSlots: number;
 }
 
 /**
- * Finds copies whose retirement frees enough for `bytes`, least used for their
- * size first, or undefined when there are not enough. Each is held elsewhere
- * too, or is no longer published.
+ * Finds copies whose retirement frees enough memory for `bytes`, those with the
+ * least use for their size first. Each of them is also held elsewhere, or no
+ * longer published.
  *
- * @param keep the model whose copy has to stay.
- * @param isSpare which of the copies held elsewhere may go.
+ * @param keptModel the model whose copy must stay.
+ * @param isSpare which of the copies that are held elsewhere may be retired.
+ * @returns undefined if the copies don't free enough memory.
  */
-export function findRoom(
+export function findRetirements(
   plan: PlacementPlan,
   target: PlannedRunner,
   bytes: number,
-  keep = '',
+  keptModel = '',
   isSpare: (copy: PlacementCopy) => boolean = () => true,
-): Room | undefined {
-  const room: Room = {copies: [], lostSlots: 0};
+): Retirements | undefined {
+  const retirements: Retirements = {copies: [], lostSlots: 0};
   let missingBytes = bytes - target.freeBytes - releasingBytes(target);
-  if (missingBytes <= 0) return room;
+  if (missingBytes <= 0) return retirements;
   const bundles = bundlesOn(target)
-    .filter(({copies}) => copies.every(({artifact}) => artifact !== keep))
+    .filter(({copies}) => copies.every(({artifact}) => artifact !== keptModel))
     .filter(({copies}) =>
       copies.every(copy => isSurplus(plan, target, copy, isSpare)),
     )
     .sort((a, b) => lossPerByte(plan, a) - lossPerByte(plan, b));
   for (const bundle of bundles) {
-    const added = bundle.copies.filter(copy => !room.copies.includes(copy));
-    room.copies.push(...added);
+    const added = bundle.copies.filter(
+      copy => !retirements.copies.includes(copy),
+    );
+    retirements.copies.push(...added);
     for (const {artifact, bytes: freed} of added) {
-      room.lostSlots += plan.slotsShareOf(artifact);
+      retirements.lostSlots += plan.slotsPerCopy(artifact);
       missingBytes -= freed;
     }
-    if (missingBytes <= 0) return room;
+    if (missingBytes <= 0) return retirements;
   }
   return undefined;
 }
 
 /**
- * Plans the retirements. A model serves its adapters, so it goes only in a
- * later decision, once its adapters' memory there has been released.
+ * Plans the retirements. A model serves its adapters, so it is retired only in
+ * a later decision, after the memory of its adapters there has been released.
  */
 export function retireAll(
   plan: PlacementPlan,
@@ -66,7 +71,9 @@
   }
 }
 
-/** Each adapter alone, and each model with the adapters that need it there. */
+/**
+ * Returns each adapter alone, and each model with its adapters on the runner.
+ */
 export function bundlesOn(target: PlannedRunner): Bundle[] {
   return [...target.copies.values()].map(copy => {
     const copies = [...adaptersOn(target, copy.artifact), copy];
@@ -113,7 +120,7 @@
 
 function lossPerByte(plan: PlacementPlan, bundle: Bundle): number {
   const lost = bundle.copies.reduce(
-    (sum, {artifact}) => sum + plan.slotsShareOf(artifact),
+    (sum, {artifact}) => sum + plan.slotsPerCopy(artifact),
     0,
   );
   return lost / Math.max(1, bundle.bytes);
--- a/packages/banyanfold-decisions/src/placement/makeRoomForOrphans.ts
+++ b/packages/banyanfold-decisions/src/placement/makeRoomForOrphans.ts
@@ -1,72 +1,86 @@
 import type {PlacementOptions} from '../options.js';
 import type {PlacementArtifact} from '../types.js';
 import {rankTargets, type Target} from './chooseTarget.js';
-import {findRoom, retireAll, type Room} from './freeMemory.js';
+import {findRetirements, retireAll, type Retirements} from './freeMemory.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 import {relocateSoleCopies} from './relocateSoleCopies.js';
 
-/** An orphan for which no runner has memory free now. */
-export interface TightOrphan {
+/** An orphan for which no runner has enough free memory. */
+export interface UnfittedOrphan {
   orphan: PlacementArtifact;
-  /** With what its adapters will need. */
+  /** Including what its adapters will need. */
   neededBytes: number;
 }
 
 /**
- * Makes room for a few orphans at once, the largest of each class first:
- * smaller ones fit into what is left, a large one wouldn't fit after them. The
- * order is the same in each decision, so that each goes on with what the one
- * before began.
+ * Frees memory for a few orphans at once, the largest of each priority first:
+ * smaller ones fit into the remaining memory, but a large one would not fit
+ * after them. The order is the same in each decision, so that each continues
+ * what the previous one began.
  *
- * @returns whether room is being made for any.
+ * @returns whether memory is being freed for any orphan.
  */
 export function makeRoomForOrphans(
   plan: PlacementPlan,
-  tight: TightOrphan[],
+  unfitted: UnfittedOrphan[],
   options: PlacementOptions,
 ): boolean {
-  const claimed = new Set<PlannedRunner>();
-  let made = 0;
-  for (const {orphan, neededBytes} of [...tight].sort(byClassAndSize)) {
-    if (made >= options.roomsAtOnce) {
-      plan.refuse(orphan, 'waits-for-memory');
+  const claimedRunners = new Set<PlannedRunner>();
+  let clearedCount = 0;
+  for (const {orphan, neededBytes} of [...unfitted].sort(byClassAndSize)) {
+    if (clearedCount >= options.roomsAtOnce) {
+      plan.markUnplaced(orphan, 'waits-for-memory');
       continue;
     }
     const targets = rankTargets(plan, orphan);
-    const open = targets.filter(({target}) => !claimed.has(target));
+    const unclaimed = targets.filter(({target}) => !claimedRunners.has(target));
     const target =
-      makeRoom(plan, orphan, neededBytes, open) ??
-      relocateSoleCopies(plan, orphan, neededBytes, open);
+      retireSurplus(plan, orphan, neededBytes, unclaimed) ??
+      relocateSoleCopies(plan, orphan, neededBytes, unclaimed);
     if (target) {
-      claimed.add(target);
-      made += 1;
+      claimedRunners.add(target);
+      clearedCount += 1;
     } else {
-      plan.refuse(orphan, targets.length === 0 ? 'no-runner' : 'no-memory');
+      plan.markUnplaced(
+        orphan,
+        targets.length === 0 ? 'no-runner' : 'no-memory',
+      );
     }
   }
-  return made > 0;
+  return clearedCount > 0;
 }
 
-/** Retires surplus where the rest loses least; gives that runner. */
-function makeRoom(
+/** Retires surplus copies where that costs least; returns the runner. */
+function retireSurplus(
   plan: PlacementPlan,
   orphan: PlacementArtifact,
   neededBytes: number,
   targets: readonly Target[],
 ): PlannedRunner | undefined {
-  let best: {target: PlannedRunner; room: Room; cost: number} | undefined;
+  let best:
+    {target: PlannedRunner; retirements: Retirements; cost: number} | undefined;
   for (const {target, cost} of targets) {
-    const room = findRoom(plan, target, neededBytes, orphan.modelArtifact);
-    if (!room) continue;
-    const total = cost + room.lostSlots / plan.slotsOf(target);
-    if (!best || total < best.cost) best = {target, room, cost: total};
+    const retirements = findRetirements(
+      plan,
+      target,
+      neededBytes,
+      orphan.modelArtifact,
+    );
+    if (!retirements) continue;
+    const total = cost + retirements.lostSlots / plan.slotsOf(target);
+    if (!best || total < best.cost) best = {target, retirements, cost: total};
   }
   if (!best) return undefined;
-  retireAll(plan, best.target, best.room.copies, `room-for ${orphan.artifact}`);
+  retireAll(
+    plan,
+    best.target,
+    best.retirements.copies,
+    `room-for ${orphan.artifact}`,
+  );
   return best.target;
 }
 
-function byClassAndSize(a: TightOrphan, b: TightOrphan): number {
+function byClassAndSize(a: UnfittedOrphan, b: UnfittedOrphan): number {
   if (a.orphan.priority !== b.orphan.priority) {
     return a.orphan.priority - b.orphan.priority;
   }
--- a/packages/banyanfold-decisions/src/placement/placeOrphans.ts
+++ b/packages/banyanfold-decisions/src/placement/placeOrphans.ts
@@ -1,18 +1,18 @@
 import type {PlacementOptions} from '../options.js';
 import type {PlacementArtifact} from '../types.js';
 import {rankTargets} from './chooseTarget.js';
-import {makeRoomForOrphans, type TightOrphan} from './makeRoomForOrphans.js';
+import {makeRoomForOrphans, type UnfittedOrphan} from './makeRoomForOrphans.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
-/** Smoothed demand falls off for long; below this nobody asks any more. */
+/** Smoothed demand decays slowly; below this rate it counts as none. */
 const MIN_DEMAND_PER_SECOND = 0.01;
 
-/** Whether callers ask for it now. */
+/** Whether callers request the artifact now. */
 export function isRequested(orphan: PlacementArtifact): boolean {
   return orphan.waiting > 0 || orphan.demandPerSecond >= MIN_DEMAND_PER_SECOND;
 }
 
-/** Labelled artifacts that no usable runner holds or loads, most urgent first. */
+/** Artifacts that no usable runner holds or loads, most urgent first. */
 export function findOrphans(plan: PlacementPlan): PlacementArtifact[] {
   return plan.view.artifacts
     .filter(({artifact}) => plan.holders(artifact).length === 0)
@@ -20,42 +20,44 @@
 }
 
 /**
- * Plans a copy of each orphan within the weight store's limits. Where memory
- * is short, surplus copies of others go first; the load follows in a later
- * decision, once the agent has seen the memory released.
+ * Plans a copy of each orphan within the limits of the weight store. If memory
+ * is short, surplus copies of other artifacts are retired first; the load
+ * follows in a later decision, after the agent has reported the memory as
+ * released.
  *
- * @returns whether an orphan waits for memory that is being released or for
- *   the weight store.
+ * @returns whether an orphan waits for memory that is being released, or for
+ * the weight store.
  */
 export function placeOrphans(
   plan: PlacementPlan,
   options: PlacementOptions,
-  isWanted: (orphan: PlacementArtifact) => boolean,
+  isIncluded: (orphan: PlacementArtifact) => boolean,
 ): boolean {
-  const orphans = findOrphans(plan).filter(isWanted);
-  const tight: TightOrphan[] = [];
+  const orphans = findOrphans(plan).filter(isIncluded);
+  const unfitted: UnfittedOrphan[] = [];
   let isWaiting = false;
   for (const orphan of orphans) {
-    const neededBytes = withAdapters(orphan, orphans);
+    const neededBytes = bytesWithAdapters(orphan, orphans);
     const targets = rankTargets(plan, orphan);
-    const spoken = spokenFor(plan, orphans, orphan.modelArtifact);
-    const roomy = targets.find(
-      ({target}) => target.freeBytes - (spoken.get(target) ?? 0) >= neededBytes,
+    const reserved = memoryForAdapters(plan, orphans, orphan.modelArtifact);
+    const fitting = targets.find(
+      ({target}) =>
+        target.freeBytes - (reserved.get(target) ?? 0) >= neededBytes,
     );
-    if (!roomy) {
-      tight.push({orphan, neededBytes});
+    if (!fitting) {
+      unfitted.push({orphan, neededBytes});
     } else if (plan.loadsLeft > 0) {
-      plan.load(roomy.target, orphan, 'orphan');
+      plan.load(fitting.target, orphan, 'orphan');
     } else {
-      plan.refuse(orphan, 'weight-store-limit');
+      plan.markUnplaced(orphan, 'weight-store-limit');
       isWaiting = true;
     }
   }
-  return makeRoomForOrphans(plan, tight, options) || isWaiting;
+  return makeRoomForOrphans(plan, unfitted, options) || isWaiting;
 }
 
-/** Bytes of an orphan with those of its adapters that have no copy either. */
-function withAdapters(
+/** Bytes of an orphan and of its adapters that have no copy either. */
+function bytesWithAdapters(
   orphan: PlacementArtifact,
   orphans: readonly PlacementArtifact[],
 ): number {
@@ -68,25 +70,25 @@
 }
 
 /**
- * Memory that orphaned adapters will need beside a model that is held or on
- * its way. Given to another orphan, it would leave them nowhere to go.
+ * Memory that adapters without a copy will need beside a model that is held or
+ * being loaded. If other orphans took it, no runner could take the adapters.
  */
-function spokenFor(
+function memoryForAdapters(
   plan: PlacementPlan,
   orphans: readonly PlacementArtifact[],
   exceptModel: string,
 ): Map<PlannedRunner, number> {
-  const spoken = new Map<PlannedRunner, number>();
+  const reserved = new Map<PlannedRunner, number>();
   for (const {artifact, modelArtifact, bytes} of orphans) {
     if (artifact === modelArtifact || modelArtifact === exceptModel) continue;
     if (plan.holders(artifact).length > 0) continue;
-    const [home] = plan.holders(modelArtifact);
-    if (home) spoken.set(home, (spoken.get(home) ?? 0) + bytes);
+    const [holder] = plan.holders(modelArtifact);
+    if (holder) reserved.set(holder, (reserved.get(holder) ?? 0) + bytes);
   }
-  return spoken;
+  return reserved;
 }
 
-/** Adapters before models: they are short to load and complete a model. */
+/** Orders adapters before models: they load quickly and complete a model. */
 function byUrgency(a: PlacementArtifact, b: PlacementArtifact): number {
   if (a.priority !== b.priority) return a.priority - b.priority;
   const aIsModel = a.artifact === a.modelArtifact;
--- a/packages/banyanfold-decisions/src/placement/placementPlan.ts
+++ b/packages/banyanfold-decisions/src/placement/placementPlan.ts
@@ -7,29 +7,26 @@
   PlacementView,
 } from '../types.js';
 
-/** One runner as it will be once the moves planned so far are made. */
+/** A runner in the state after the moves planned so far. */
 export interface PlannedRunner {
   runner: PlacementRunner;
   freeBytes: number;
-  /** By artifact; copies planned for retirement are `releasing`. */
+  /** Copies by artifact; those planned for retirement are `releasing`. */
   copies: Map<string, PlacementCopy>;
-  /** How many times the smoothed demand its queue stands for. */
-  surge: number;
-  /** Expected share of its slots that is in use; may pass 1. */
+  /** Observed load as a multiple of the expected one, if requests queue. */
+  demandFactor: number;
+  /** Expected share of its slots in use; may exceed 1. */
   load: number;
 }
 
 const MS_PER_SECOND = 1000;
-/** One long queue may be chance; it counts for no more than this. */
-const MAX_SURGE = 1.5;
+/** Limits the effect of one long queue, which may be chance. */
+const MAX_DEMAND_FACTOR = 1.5;
 
-/** States in which a copy serves, or will without another order. */
+/** States of copies that serve, or will serve without another order. */
 const COUNTED_STATES = new Set<PlacementCopy['state']>(['held', 'reserved']);
 
-/**
- * The scratch pad of one placement decision: the view, with the moves planned
- * so far applied to it.
- */
+/** State of one placement decision: the view after the moves planned so far. */
 export class PlacementPlan {
   readonly moves: Move[] = [];
   readonly unplaced: Array<{artifact: string; reason: string}> = [];
@@ -40,7 +37,7 @@
 
   constructor(
     readonly view: PlacementView,
-    /** Loads that the weight store allows now. */
+    /** Number of loads that the weight store allows now. */
     public loadsLeft: number,
     private readonly options: PlacementOptions,
   ) {
@@ -51,23 +48,23 @@
       if (!runner.reachable || runner.leaving) continue;
       this.runners.set(runner.vmId, plannedRunner(runner));
     }
-    this.recount();
+    this.recompute();
   }
 
-  /** Runners whose copy serves, or is on its way. */
+  /** Runners whose copy serves or is being loaded. */
   holders(artifact: string): readonly PlannedRunner[] {
     return this.holderIndex.get(artifact) ?? [];
   }
 
   /** Runners whose copy serves now. */
-  servers(artifact: string): PlannedRunner[] {
+  servingRunners(artifact: string): PlannedRunner[] {
     return this.holders(artifact).filter(
       ({copies}) => copies.get(artifact)?.state === 'held',
     );
   }
 
   /** Slots that one copy of an artifact is expected to keep in use. */
-  slotsShareOf(name: string): number {
+  slotsPerCopy(name: string): number {
     const artifact = this.artifacts.get(name);
     if (!artifact) return 0;
     const copies = Math.max(1, this.holders(name).length);
@@ -93,13 +90,13 @@
       state: 'reserved',
       idleMs: 0,
     });
-    this.recount();
+    this.recompute();
   }
 
   /**
-   * Plans a retirement that relies on the held copies elsewhere. They stay: a
-   * copy relied on in this decision is never retired in it, because both
-   * retirements would pass alone and together leave no copy.
+   * Plans a retirement that relies on the held copies elsewhere. A copy that is
+   * relied on is never retired in the same decision: each of the two
+   * retirements would be accepted, and together they would leave no copy.
    */
   retire(target: PlannedRunner, copy: PlacementCopy, reason: string) {
     if (copy.state !== 'held') return;
@@ -113,11 +110,11 @@
       reason,
     });
     target.copies.set(copy.artifact, {...copy, state: 'releasing'});
-    this.recount();
+    this.recompute();
   }
 
-  /** Notes why an artifact gets no copy now. */
-  refuse({artifact}: PlacementArtifact, reason: string): void {
+  /** Records why an artifact gets no copy now. */
+  markUnplaced({artifact}: PlacementArtifact, reason: string): void {
     this.unplaced.push({artifact, reason});
   }
 
@@ -133,10 +130,10 @@
     });
   }
 
-  /** Held copies on other usable runners; none for what isn't published. */
+  /** Held copies on other usable runners; none if it isn't published. */
   reliableCopyIds(target: PlannedRunner, artifact: string): string[] {
     if (!this.artifacts.has(artifact)) return [];
-    return this.servers(artifact)
+    return this.servingRunners(artifact)
       .filter(({runner}) => runner.vmId !== target.runner.vmId)
       .map(({copies}) => copies.get(artifact)!.copyId);
   }
@@ -152,12 +149,12 @@
     return runner.maxRunning ?? this.options.assumedMaxRunning;
   }
 
-  /** Brings the index and the loads up to date with the copies. */
-  private recount(): void {
+  /** Updates the index of holders and the loads from the copies. */
+  private recompute(): void {
     this.holderIndex.clear();
     for (const planned of this.runners.values()) {
       planned.load = 0;
-      planned.surge = 1;
+      planned.demandFactor = 1;
       for (const {artifact, state} of planned.copies.values()) {
         if (!COUNTED_STATES.has(state)) continue;
         const holders = this.holderIndex.get(artifact);
@@ -165,11 +162,11 @@
         else this.holderIndex.set(artifact, [planned]);
       }
     }
-    this.spreadDemand();
-    this.raiseToObserved();
+    this.distributeDemand();
+    this.raiseToObservedLoad();
   }
 
-  private spreadDemand(): void {
+  private distributeDemand(): void {
     for (const artifact of this.artifacts.values()) {
       const holders = this.holders(artifact.artifact);
       const rate = artifact.demandPerSecond / holders.length;
@@ -179,14 +176,19 @@
     }
   }
 
-  /** Demand is smoothed; where requests queue already, a shift is seen first. */
-  private raiseToObserved(): void {
+  /**
+   * Demand is smoothed, so a shift of demand shows first where requests queue.
+   */
+  private raiseToObservedLoad(): void {
     for (const planned of this.runners.values()) {
       const {running, queued} = planned.runner;
       if (queued === 0) continue;
       const observed = (running + queued) / this.slotsOf(planned);
       if (observed <= planned.load) continue;
-      planned.surge = Math.min(observed / planned.load, MAX_SURGE);
+      planned.demandFactor = Math.min(
+        observed / planned.load,
+        MAX_DEMAND_FACTOR,
+      );
       planned.load = observed;
     }
   }
@@ -198,6 +200,6 @@
     freeBytes: runner.memoryFreeBytes,
     copies: new Map(runner.copies.map(copy => [copy.artifact, copy])),
     load: 0,
-    surge: 1,
+    demandFactor: 1,
   };
 }
--- a/packages/banyanfold-decisions/src/placement/relocateSoleCopies.ts
+++ b/packages/banyanfold-decisions/src/placement/relocateSoleCopies.ts
@@ -1,26 +1,31 @@
 import type {PlacementArtifact} from '../types.js';
 import type {Target} from './chooseTarget.js';
-import {bundlesOn, findRoom, retireAll, type Bundle} from './freeMemory.js';
+import {
+  bundlesOn,
+  findRetirements,
+  retireAll,
+  type Bundle,
+} from './freeMemory.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
-/** One bundle's way off a runner. */
+/** How a bundle is moved off a runner. */
 interface Relocation {
   bundle: Bundle;
-  /** Where what is missing elsewhere goes; undefined when nothing is. */
-  home: PlannedRunner | undefined;
+  /** Runner that loads the missing members; undefined if there are none. */
+  host: PlannedRunner | undefined;
   /** Members of the bundle that no other runner holds yet, the model first. */
   missing: PlacementArtifact[];
   missingBytes: number;
 }
 
-/** Memory of other runners that relocations planned together will take. */
-type Taken = Map<PlannedRunner, number>;
+/** Memory of other runners that relocations planned together will use. */
+type ReservedBytes = Map<PlannedRunner, number>;
 
 /**
- * Makes an orphan's room out of sole copies, by loading them elsewhere first.
- * Later decisions see them as surplus and retire them. Of all ways the one
- * with the fewest bytes still to load is taken, so that decisions go on with
- * what earlier ones began.
+ * Frees memory for an orphan by loading sole copies elsewhere. Later decisions
+ * treat the originals as surplus and retire them. The runner with the fewest
+ * bytes still to load is chosen, so that decisions continue what earlier ones
+ * began.
  *
  * @returns the runner that is being cleared, or undefined.
  */
@@ -30,43 +35,50 @@
   neededBytes: number,
   targets: readonly Target[],
 ): PlannedRunner | undefined {
-  let best: {target: PlannedRunner; way: Relocation[]} | undefined;
+  let best: {target: PlannedRunner; relocations: Relocation[]} | undefined;
   for (const {target} of targets) {
-    const way = clear(plan, target, orphan, neededBytes);
-    if (!way) continue;
-    if (!best || bytesToLoad(way) < bytesToLoad(best.way)) {
-      best = {target, way};
+    const relocations = planRelocations(plan, target, orphan, neededBytes);
+    if (!relocations) continue;
+    if (!best || bytesToLoad(relocations) < bytesToLoad(best.relocations)) {
+      best = {target, relocations};
     }
   }
-  for (const relocation of best?.way ?? []) start(plan, relocation, orphan);
+  for (const each of best?.relocations ?? []) startLoads(plan, each, orphan);
   return best?.target;
 }
 
-/** The relocations that clear enough of a runner, the cheapest first. */
-function clear(
+/** Returns the relocations that clear enough of a runner, cheapest first. */
+function planRelocations(
   plan: PlacementPlan,
   target: PlannedRunner,
   orphan: PlacementArtifact,
   neededBytes: number,
 ): Relocation[] | undefined {
-  const taken: Taken = new Map();
-  const way: Relocation[] = [];
+  const reserved: ReservedBytes = new Map();
+  const relocations: Relocation[] = [];
   let clearedBytes = target.freeBytes;
   const bundles = bundlesOn(target)
     .filter(bundle => isMovable(bundle, orphan))
     .map(bundle => ({bundle, missing: missingOf(plan, target, bundle)}))
     .sort((a, b) => bytesOf(a.missing) - bytesOf(b.missing));
   for (const {bundle, missing} of bundles) {
-    const relocation = relocate(plan, target, bundle, missing, orphan, taken);
+    const relocation = relocate(
+      plan,
+      target,
+      bundle,
+      missing,
+      orphan,
+      reserved,
+    );
     if (!relocation) continue;
-    way.push(relocation);
+    relocations.push(relocation);
     clearedBytes += bundle.bytes;
-    if (clearedBytes >= neededBytes) return way;
+    if (clearedBytes >= neededBytes) return relocations;
   }
   return undefined;
 }
 
-/** Whole models only; their adapters go with them. */
+/** Whether the bundle is a whole model; its adapters move with it. */
 function isMovable({copies}: Bundle, orphan: PlacementArtifact): boolean {
   const model = copies.at(-1)!;
   const isModel = !model.artifact.includes('+');
@@ -97,67 +109,72 @@
   bundle: Bundle,
   missing: PlacementArtifact[],
   orphan: PlacementArtifact,
-  taken: Taken,
+  reserved: ReservedBytes,
 ): Relocation | undefined {
   const missingBytes = bytesOf(missing);
   if (missing.length === 0) {
-    return {bundle, home: undefined, missing, missingBytes};
+    return {bundle, host: undefined, missing, missingBytes};
   }
-  const homes = [...plan.runners.values()].filter(
+  const hosts = [...plan.runners.values()].filter(
     other =>
       other !== target &&
-      missing.every(artifact => couldServe(other, artifact, missing)),
+      missing.every(artifact => canHost(other, artifact, missing)),
   );
-  const needOn = (home: PlannedRunner): number =>
-    missingBytes + (taken.get(home) ?? 0);
-  const home =
-    homes.find(other => other.freeBytes >= needOn(other)) ??
-    homes.find(other =>
-      findRoom(plan, other, needOn(other), orphan.modelArtifact),
+  const bytesNeededOn = (host: PlannedRunner): number =>
+    missingBytes + (reserved.get(host) ?? 0);
+  const host =
+    hosts.find(other => other.freeBytes >= bytesNeededOn(other)) ??
+    hosts.find(other =>
+      findRetirements(plan, other, bytesNeededOn(other), orphan.modelArtifact),
     );
-  if (!home) return undefined;
-  taken.set(home, needOn(home));
-  return {bundle, home, missing, missingBytes};
+  if (!host) return undefined;
+  reserved.set(host, bytesNeededOn(host));
+  return {bundle, host, missing, missingBytes};
 }
 
-/** Loads what there is memory for now, and frees memory for the rest. */
-function start(
+/** Loads what fits into memory now, and frees memory for the rest. */
+function startLoads(
   plan: PlacementPlan,
-  {home, missing, missingBytes}: Relocation,
+  {host, missing, missingBytes}: Relocation,
   orphan: PlacementArtifact,
 ): void {
-  if (!home) return;
+  if (!host) return;
   const reason = `make-room-for ${orphan.artifact}`;
-  const room = findRoom(plan, home, missingBytes, orphan.modelArtifact);
-  if (room) retireAll(plan, home, room.copies, reason);
+  const retirements = findRetirements(
+    plan,
+    host,
+    missingBytes,
+    orphan.modelArtifact,
+  );
+  if (retirements) retireAll(plan, host, retirements.copies, reason);
   for (const artifact of missing) {
-    if (plan.loadsLeft <= 0 || home.freeBytes < artifact.bytes) return;
-    if (canLoadNow(home, artifact)) plan.load(home, artifact, reason);
+    if (plan.loadsLeft <= 0 || host.freeBytes < artifact.bytes) return;
+    if (canLoadNow(host, artifact)) plan.load(host, artifact, reason);
   }
 }
 
-/** The model has to be there, or to come with the same bundle. */
-function couldServe(
-  home: PlannedRunner,
+/** Requires the model to be there, or to be loaded with the same bundle. */
+function canHost(
+  host: PlannedRunner,
   {artifact, modelArtifact}: PlacementArtifact,
   missing: readonly PlacementArtifact[],
 ): boolean {
-  if (home.copies.has(artifact)) return false;
+  if (host.copies.has(artifact)) return false;
   if (artifact === modelArtifact) return true;
   const modelComes = missing.some(other => other.artifact === modelArtifact);
-  return modelComes || home.copies.has(modelArtifact);
+  return modelComes || host.copies.has(modelArtifact);
 }
 
 function canLoadNow(
-  home: PlannedRunner,
+  host: PlannedRunner,
   {artifact, modelArtifact}: PlacementArtifact,
 ): boolean {
   if (artifact === modelArtifact) return true;
-  return home.copies.get(modelArtifact)?.state === 'held';
+  return host.copies.get(modelArtifact)?.state === 'held';
 }
 
-function bytesToLoad(way: readonly Relocation[]): number {
-  return way.reduce((sum, {missingBytes}) => sum + missingBytes, 0);
+function bytesToLoad(relocations: readonly Relocation[]): number {
+  return relocations.reduce((sum, {missingBytes}) => sum + missingBytes, 0);
 }
 
 function bytesOf(artifacts: readonly PlacementArtifact[]): number {
