--- a/packages/banyanfold-decisions/src/chooseRelays.ts
+++ b/packages/banyanfold-decisions/src/chooseRelays.ts
@@ -1,25 +1,27 @@
 import {hashRank, rankByWeight} from './rankByWeight.js';
 
-/** An entry that could pass the holder's word on to others. */
+/** An entry that can relay state between the lease holder and other entries. */
 export interface RelayCandidate {
   address: string;
   failureDomain: string;
-  /** Cores' worth of processor that the process may use. */
+  /** Processor share of the process, in cores. */
   processorShare: number;
 }
 
 export interface ChooseRelaysOptions {
   /**
-   * Up to so many entries all ask the holder itself: the word is fresher by one
-   * exchange, and one answer takes it 1 ms of a processor.
+   * Up to this many entries exchange state with the holder directly. Their
+   * state is fresher by one exchange, and each answer costs the holder 1 ms of
+   * processor time.
    */
   maxDirectEntries: number;
   /**
-   * Entries that share one relay. Near the root of the entries that are designed
-   * for, 730, so that the holder and a relay hear from about as many.
+   * Number of entries per relay. It is close to the square root of 730, the
+   * number of entries that the system is designed for, so that the holder and
+   * each relay exchange state with about as many.
    */
   entriesPerRelay: number;
-  /** A relay stays unless another entry has this many times its processor. */
+  /** A relay stays unless an entry has this many times its processor share. */
   hysteresisFactor: number;
 }
 
@@ -29,41 +31,42 @@
   hysteresisFactor: 1.5,
 };
 
-/** Addresses of the relays, by failure domain; none where all ask the holder. */
+/** Relay addresses by failure domain; empty if all entries use the holder. */
 export type RelaysByDomain = ReadonlyMap<string, readonly string[]>;
 
 /**
- * The entries through which the others of their failure domain speak with the
- * holder of orders: in each domain those with the most processor, as many as
- * its entries need. The holder is none of them; it has its own work. One that
- * was a relay before stays, as its group would have to find another one.
+ * Chooses the relays through which the entries of a failure domain exchange
+ * state with the lease holder: in each domain the entries with the largest
+ * processor share, as many as its number of entries requires. The holder is
+ * never a relay, because it has its own work. Current relays are preferred,
+ * because their groups would have to switch.
  *
- * Answers the load of many entries of unequal size. With 17 of them the holder,
- * on a machine of 0.12 cores, answered in 20 ms at first and in 140 once it
- * worked at its full price, and from the first callers on most exchanges ended by
- * their limit: entries decided by what they had known 13 s ago in the median.
+ * Designed for many entries of unequal size. With 17 entries, a holder with
+ * 0.12 cores answered in 20 ms at first, and in 140 ms once it paid the full
+ * processor cost of its work. From the first callers on, most exchanges timed
+ * out, and entries decided on state with a median age of 13 s.
  *
- * @param holder address of the process that has the lease.
- * @param before the relays so far.
+ * @param holder address of the process that holds the lease.
+ * @param previous the current relays.
  * @example
  * chooseRelays(entries, 'a:7', new Map()).get('hall-b') // ['b3:7']
  */
 export function chooseRelays(
   entries: readonly RelayCandidate[],
   holder: string,
-  before: RelaysByDomain,
+  previous: RelaysByDomain,
   options: ChooseRelaysOptions = DEFAULT_CHOOSE_RELAYS_OPTIONS,
 ): RelaysByDomain {
   const relays = new Map<string, readonly string[]>();
   if (entries.length <= options.maxDirectEntries) return relays;
   for (const [domain, members] of byDomain(entries)) {
     const others = members.filter(({address}) => address !== holder);
-    // A relay for itself alone would only be one stop more.
+    // A relay that serves only itself would add a hop and save none.
     if (others.length < 2) continue;
     const count = Math.ceil(others.length / options.entriesPerRelay);
-    const kept = new Set(before.get(domain));
+    const current = new Set(previous.get(domain));
     const ranked = rankByWeight(others, entry =>
-      weightOf(entry, kept, options),
+      weightOf(entry, current, options),
     );
     relays.set(
       domain,
@@ -74,9 +77,9 @@
 }
 
 /**
- * The relay that an entry speaks through; undefined if it asks the holder. Each
- * entry prefers the same one while the relays stay, and they share the entries
- * about evenly.
+ * Returns the relay of an entry, or undefined if the entry uses the holder
+ * directly. An entry keeps its relay as long as the set of relays stays the
+ * same, and the relays serve about the same number of entries each.
  *
  * @example relayOf('b1:7', ['b3:7']) // 'b3:7'
  */
@@ -96,10 +99,12 @@
 
 function weightOf(
   {address, processorShare}: RelayCandidate,
-  kept: ReadonlySet<string>,
+  current: ReadonlySet<string>,
   {hysteresisFactor}: ChooseRelaysOptions,
 ): number {
-  return kept.has(address) ? processorShare * hysteresisFactor : processorShare;
+  return current.has(address)
+    ? processorShare * hysteresisFactor
+    : processorShare;
 }
 
 function byDomain(
--- a/packages/banyanfold-decisions/src/chooseRunner.ts
+++ b/packages/banyanfold-decisions/src/chooseRunner.ts
@@ -1,45 +1,46 @@
 import {hashRank} from './rankByWeight.js';
 
-/** One runner that could take a request. */
+/** A runner that can take a request. */
 export interface RunnerCandidate {
   runnerId: string;
   failureDomain: string;
-  /** Work open there, in the unit of the caller's choice. */
+  /** Outstanding work at the runner; see {@link ChooseRunnerOptions}. */
   openWork: number;
-  /** The request's adapter is there, or none is asked for. */
+  /** Whether the request's adapter is loaded, or it needs none. */
   hasAdapter: boolean;
-  /** It failed lately; taken only where all did. */
+  /** The runner failed recently; it is chosen only if all candidates did. */
   isSuspect: boolean;
 }
 
-/** What a request shares with others. */
+/** The prompt prefix that a request shares with other requests. */
 export interface Affinity {
-  /** All entries rank the runners by it alike. */
+  /** Ranks the runners; every entry derives the same order from it. */
   key: string;
-  /** Work that is saved where the shared part is cached. */
+  /** Work saved at a runner that has the shared prefix cached. */
   sharedWork: number;
 }
 
-/** What comes before the entries hear of each other's requests. */
+/** Requests that arrive before the entries learn of each other's requests. */
 export interface ConcurrentArrivals {
-  /** Work for the same runners, of all entries. */
+  /** Their work for the candidates, summed over all entries. */
   work: number;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform number in [0, 1). */
   random(): number;
 }
 
-/** All in the unit of open work; a plain call, or 1,000 prompt tokens, is 1. */
+/** In the unit of open work: a plain call, or 1,000 prompt tokens, is 1. */
 export interface ChooseRunnerOptions {
   /**
-   * Work over the least loaded that is no reason to leave affinity, besides
-   * what the cache saves. With 0 a runner in a short queue has every shared part
-   * read elsewhere too (of 24 requests a second at four runners 72% were in
-   * target, with 3 92%); with 24 a burst queues at one runner.
+   * Work above the water level, on top of what the cache saves, at which a
+   * request still goes to its preferred runner. With 0, a short queue makes
+   * other runners read each shared prefix too: at 24 requests per second and
+   * four runners, 72% of the requests meet their target, against 92% with 3.
+   * With 24, a burst queues at one runner.
    */
   slackWork: number;
-  /** Work that an adapter's fetch counts as: some 40 ms, and a place taken. */
+  /** Cost of fetching an adapter: about 40 ms, and an adapter slot. */
   adapterFetchWork: number;
-  /** Work that another failure domain counts as: its bytes have a price. */
+  /** Cost of another failure domain: traffic between domains is billed. */
   otherDomainWork: number;
 }
 
@@ -54,49 +55,52 @@
   reason: 'affinity' | 'least-work';
 }
 
-const NO_FLOW: ConcurrentArrivals = {work: 0, random: () => 0};
+const NO_ARRIVALS: ConcurrentArrivals = {work: 0, random: () => 0};
 
 /**
- * Chooses a runner by prefix affinity with bounded load. All entries rank the
- * runners alike by a hash of the key, so that requests that share a prompt meet
- * where it is cached without anything being told. A runner is passed over once
- * the work that waits there exceeds the level by more than reading the shared part
- * again would cost; without a key the least loaded is taken, any one of several:
- * all entries would send to the first in the list. Runners of the entry's
- * own failure domain go first: a prompt is then cached once a domain, and its
- * bytes stay within it.
+ * Chooses a runner by prefix affinity with bounded load.
  *
- * The level is where the least loaded runners would be filled to by what comes
- * before the entries hear of each other. A runner that has little room up to it is
- * passed over by a share of the requests only, or all entries would leave it for
- * the one that seems idle: 37 entries sent 56 of a model's 76 prompts of one second
- * to a copy that had just come, and 4 each to the five others.
+ * Every entry ranks the runners by the same hash of the key. Requests that
+ * share a prompt prefix therefore reach the runner that has it cached, without
+ * coordination between entries. A runner is skipped once its open work exceeds
+ * the water level by more than reading the prefix again would cost. Runners in
+ * the failure domain of the entry rank first, so that a prefix is cached once
+ * per domain and its bytes stay within the domain. Without a key, a random one
+ * of the least loaded runners is chosen, because all entries would choose the
+ * first one.
  *
- * Answers the load of many short prompts that share long prefixes while one
- * group of them bursts, from few entries or many.
+ * The water level is the load to which the concurrent arrivals would fill the
+ * least loaded runners. A runner with little spare work takes only a share of
+ * the requests; otherwise all entries would leave it for the runner that seems
+ * idle. Without this, 37 entries sent 56 of the 76 prompts of one second to a
+ * copy that had just been loaded, and 4 each to the five other copies.
  *
- * @param affinity what the request shares with others; undefined for none.
- * @param flow what comes besides; without it this entry is taken to be alone.
+ * Designed for many short prompts with long shared prefixes, where one group of
+ * prompts bursts, from few entries or many.
+ *
+ * @param affinity undefined if the request shares no prefix.
+ * @param arrivals concurrent requests of all entries; by default this entry is
+ * the only one.
  * @example
- * chooseRunner(choices, {key: 'm1/5c1e', sharedWork: 6.3}, 'hall-a')?.runnerId
+ * chooseRunner(runners, {key: 'm1/5c1e', sharedWork: 6.3}, 'hall-a')?.runnerId
  */
 export function chooseRunner(
-  choices: readonly RunnerCandidate[],
+  runners: readonly RunnerCandidate[],
   affinity: Affinity | undefined,
   failureDomain: string,
-  flow: ConcurrentArrivals = NO_FLOW,
+  arrivals: ConcurrentArrivals = NO_ARRIVALS,
   options: ChooseRunnerOptions = DEFAULT_CHOOSE_RUNNER_OPTIONS,
 ): ChosenRunner | undefined {
-  const sound = choices.filter(choice => !choice.isSuspect);
-  const candidates = sound.length > 0 ? sound : choices;
+  const unsuspected = runners.filter(runner => !runner.isSuspect);
+  const candidates = unsuspected.length > 0 ? unsuspected : runners;
   if (candidates.length === 0) return undefined;
   if (affinity) {
     const ranked = candidates
-      .map(choice => ({
-        choice,
-        rank: hashRank(`${affinity.key}\n${choice.runnerId}`),
-        isOwnDomain: choice.failureDomain === failureDomain,
-        cost: costOf(choice, options),
+      .map(runner => ({
+        runner,
+        rank: hashRank(`${affinity.key}\n${runner.runnerId}`),
+        isOwnDomain: runner.failureDomain === failureDomain,
+        cost: costOf(runner, options),
       }))
       .sort((a, b) =>
         a.isOwnDomain === b.isOwnDomain
@@ -106,60 +110,67 @@
           : Number(b.isOwnDomain) - Number(a.isOwnDomain),
       );
     const costs = ranked.map(({cost}) => cost);
-    const bound =
-      waterLevel(costs, flow.work) + affinity.sharedWork + options.slackWork;
-    const first =
-      ranked.find(({cost}) => isTaken(bound - cost, costs.length, flow)) ??
+    const maxCost =
+      waterLevel(costs, arrivals.work) +
+      affinity.sharedWork +
+      options.slackWork;
+    const selected =
+      ranked.find(({cost}) =>
+        isAccepted(maxCost - cost, costs.length, arrivals),
+      ) ??
       ranked.reduce((least, each) => (each.cost < least.cost ? each : least));
-    return {runnerId: first.choice.runnerId, reason: 'affinity'};
+    return {runnerId: selected.runner.runnerId, reason: 'affinity'};
   }
-  const least = leastOf(candidates, failureDomain, options);
-  const chosen = least[Math.floor(flow.random() * least.length)]!;
+  const least = leastCostCandidates(candidates, failureDomain, options);
+  const chosen = least[Math.floor(arrivals.random() * least.length)]!;
   return {runnerId: chosen.runnerId, reason: 'least-work'};
 }
 
-/** The candidates of least cost, which may be several. */
-function leastOf(
+/** Returns all candidates that share the lowest cost. */
+function leastCostCandidates(
   candidates: readonly RunnerCandidate[],
   failureDomain: string,
   options: ChooseRunnerOptions,
 ): RunnerCandidate[] {
   const costs = candidates.map(
-    choice =>
-      costOf(choice, options) +
-      (choice.failureDomain === failureDomain ? 0 : options.otherDomainWork),
+    runner =>
+      costOf(runner, options) +
+      (runner.failureDomain === failureDomain ? 0 : options.otherDomainWork),
   );
   const leastCost = Math.min(...costs);
   return candidates.filter((_choice, i) => costs[i] === leastCost);
 }
 
-/** Whether a runner with so much room takes its share of the flow, or part of it. */
-function isTaken(
-  room: number,
-  runners: number,
-  flow: ConcurrentArrivals,
+/**
+ * Whether a runner with this much spare work takes the request. A runner that
+ * has less than its share of the arrivals takes only a part of them.
+ */
+function isAccepted(
+  spareWork: number,
+  runnerCount: number,
+  arrivals: ConcurrentArrivals,
 ): boolean {
-  if (room < 0) return false;
-  const share = flow.work / runners;
-  return room >= share || flow.random() * share < room;
+  if (spareWork < 0) return false;
+  const share = arrivals.work / runnerCount;
+  return spareWork >= share || arrivals.random() * share < spareWork;
 }
 
 /**
- * The load to which work fills the least loaded of several, all to one height.
+ * Returns the level up to which `work` fills the least loaded runners.
  *
  * @example waterLevel([0, 10, 50], 20) // 15
  */
 export function waterLevel(loads: readonly number[], work: number): number {
   const sorted = [...loads].sort((a, b) => a - b);
-  let filled = work;
+  let total = work;
   for (const [i, load] of sorted.entries()) {
-    filled += load;
-    const level = filled / (i + 1);
+    total += load;
+    const level = total / (i + 1);
     if (i + 1 === sorted.length || level <= sorted[i + 1]!) return level;
   }
   return 0;
 }
 
-function costOf(choice: RunnerCandidate, options: ChooseRunnerOptions): number {
-  return choice.openWork + (choice.hasAdapter ? 0 : options.adapterFetchWork);
+function costOf(runner: RunnerCandidate, options: ChooseRunnerOptions): number {
+  return runner.openWork + (runner.hasAdapter ? 0 : options.adapterFetchWork);
 }
--- a/packages/banyanfold-decisions/src/chooseStandbys.ts
+++ b/packages/banyanfold-decisions/src/chooseStandbys.ts
@@ -1,22 +1,24 @@
 import {rankByWeight} from './rankByWeight.js';
 
-/** An entry that could give orders. */
+/** An entry that can hold the lease on orders. */
 export interface StandbyCandidate {
   address: string;
-  /** Cores' worth of processor that the process may use. */
+  /** Processor share of the process, in cores. */
   processorShare: number;
 }
 
 export interface ChooseStandbysOptions {
   /**
-   * Entries that stand by for the lease, the holder included. Each costs some
-   * calls a second at the store; with six, three may go within the second that
-   * the store takes to notice, and two be under way.
+   * Number of entries that stand by for the lease, including its holder. Each
+   * of them sends a few calls per second to the store. With six, three can fail
+   * within the second that the store takes to detect it, while two others are
+   * joining or leaving.
    */
   count: number;
   /**
    * The holder keeps the lease unless another entry has this many times its
-   * processor: a change of holder costs some seconds without orders.
+   * processor share, because a change of holder interrupts orders for some
+   * seconds.
    */
   hysteresisFactor: number;
 }
@@ -27,16 +29,17 @@
 };
 
 /**
- * The entries that stand by for the lease on orders: those with the most
- * processor, and among equals an order that doesn't follow their addresses, so
- * that they are spread over the failure domains.
+ * Chooses the entries that stand by for the lease on orders: those with the
+ * largest processor share. Ties are ordered by a hash of the address, which
+ * spreads them over the failure domains.
  *
- * Answers the load of many entries of unequal size: the holder hears from each
- * some times a second and asks every runner for reports. On one of the small VMs
- * it answered late, all others read the store for themselves, and a day of 28
- * entries took 8,544 calls, and 3,608 since (one run each, other changes included).
+ * Designed for many entries of unequal size. The holder receives a state update
+ * from each entry several times per second and requests reports from every
+ * runner. On a small VM it answered late, and all other entries read the store
+ * themselves: a day with 28 entries took 8,544 store calls, against 3,608 with
+ * this choice (one run each, other changes included).
  *
- * @param holder address of the process that has the lease.
+ * @param holder address of the process that holds the lease.
  * @example
  * chooseStandbys(entries, 'a:7')?.has('b:7')
  */
@@ -47,13 +50,13 @@
 ): ReadonlySet<string> {
   const ranked = rankByWeight(entries, ({processorShare}) => processorShare);
   const largest = ranked[0]?.processorShare ?? 0;
-  const own = entries.find(({address}) => address === holder);
-  const keeps =
-    own !== undefined &&
-    own.processorShare * options.hysteresisFactor > largest;
+  const holderEntry = entries.find(({address}) => address === holder);
+  const keepsHolder =
+    holderEntry !== undefined &&
+    holderEntry.processorShare * options.hysteresisFactor > largest;
   const others = ranked.filter(({address}) => address !== holder);
-  const chosen = others.slice(0, options.count - (keeps ? 1 : 0));
+  const chosen = others.slice(0, options.count - (keepsHolder ? 1 : 0));
   const standbys = new Set(chosen.map(({address}) => address));
-  if (keeps) standbys.add(holder);
+  if (keepsHolder) standbys.add(holder);
   return standbys;
 }
--- a/packages/banyanfold-decisions/src/decideAdmission.ts
+++ b/packages/banyanfold-decisions/src/decideAdmission.ts
@@ -6,9 +6,9 @@
 } from './types.js';
 
 /**
- * Whether an agent runs a request now, queues it or refuses it. A request that
- * can't make its first-token target is refused at once, and told when the
- * queue will have drained far enough.
+ * Decides whether an agent runs a request now, queues it or refuses it. A
+ * request that cannot meet its first-token target is refused immediately, with
+ * the time after which the queue will have drained far enough.
  *
  * @example decideAdmission(view, request, clock.nowMs()).kind // 'run'
  */
@@ -57,8 +57,9 @@
 }
 
 /**
- * Only the best class may fill the queue. Else a burst of drafts fills it, and
- * the counter is refused for want of a place though it would go first.
+ * Lower classes may fill only a part of the queue. Otherwise a burst of drafts
+ * fills it, and a request of the best class is refused although it would run
+ * first.
  */
 function queueLimit(
   view: AdmissionView,
@@ -77,7 +78,9 @@
   );
 }
 
-/** Time until a slot is free for this request, behind those before it. */
+/**
+ * Time until a slot is free for this request, after the requests ahead of it.
+ */
 function estimateWaitMs(
   view: AdmissionView,
   request: AdmissionRequest,
@@ -85,14 +88,15 @@
 ): number {
   if (canStart(view, request)) return 0;
   const deadlineMs = nowMs + request.firstTokenBudgetMs;
-  const ahead = view.queue.filter(
+  const requestsAhead = view.queue.filter(
     queued =>
       queued.priority < request.priority ||
       (queued.priority === request.priority && queued.deadlineMs <= deadlineMs),
   ).length;
   const freeSlots = Math.max(0, view.maxRunning - view.running);
   const slotIntervalMs = view.serviceTimeMs / Math.max(1, view.maxRunning);
-  const slotWaitMs = Math.max(0, ahead + 1 - freeSlots) * slotIntervalMs;
+  const slotWaitMs =
+    Math.max(0, requestsAhead + 1 - freeSlots) * slotIntervalMs;
   if (request.kvBytes <= view.kvFreeBytes) return slotWaitMs;
   const kvWaitMs = view.serviceTimeMs / Math.max(1, view.running);
   return Math.max(slotWaitMs, kvWaitMs);
--- a/packages/banyanfold-decisions/src/decideEjections.ts
+++ b/packages/banyanfold-decisions/src/decideEjections.ts
@@ -8,9 +8,9 @@
 }
 
 /**
- * Names the runners to leave out for a while, by comparison with their peers:
- * what slows all of them is load and no reason to eject any. Fewer than half
- * are ever ejected at once, or the rest would drown.
+ * Chooses the runners to avoid for a while, by comparison with their peers: a
+ * slowdown of all runners is caused by load and is no reason to eject any.
+ * Fewer than half are ejected at a time, because the rest would be overloaded.
  *
  * @example decideEjections(outcomes, clock.nowMs()).ejected // [{vmId, …}]
  */
@@ -20,13 +20,13 @@
   options: EjectionOptions = DEFAULT_EJECTION_OPTIONS,
 ): EjectionDecision {
   const ejectedNow = outcomes.filter(outcome => isEjected(outcome, nowMs));
-  const judged = outcomes.filter(
+  const eligible = outcomes.filter(
     outcome =>
       !isEjected(outcome, nowMs) && totalOf(outcome) >= options.minOutcomes,
   );
   const allowed = ejectionLimit(outcomes.length, options) - ejectedNow.length;
-  const outliers = judged
-    .map(outcome => outlierOf(outcome, judged, options))
+  const outliers = eligible
+    .map(outcome => outlierOf(outcome, eligible, options))
     .filter(outlier => outlier !== undefined)
     .sort(bySeverity)
     .slice(0, Math.max(0, allowed));
@@ -55,10 +55,10 @@
 
 function outlierOf(
   outcome: RunnerOutcomes,
-  judged: readonly RunnerOutcomes[],
+  eligible: readonly RunnerOutcomes[],
   options: EjectionOptions,
 ): Outlier | undefined {
-  const peers = judged.filter(
+  const peers = eligible.filter(
     ({vmId, peerGroup}) =>
       vmId !== outcome.vmId && peerGroup === outcome.peerGroup,
   );
@@ -72,19 +72,19 @@
       reason: `fails ${percent}%`,
     };
   }
-  const answered = peers.filter(({firstTokenMs}) => firstTokenMs > 0);
-  const peersMs = median(answered.map(({firstTokenMs}) => firstTokenMs));
-  const overMs = outcome.firstTokenMs - peersMs;
+  const answeringPeers = peers.filter(({firstTokenMs}) => firstTokenMs > 0);
+  const peersMs = median(answeringPeers.map(({firstTokenMs}) => firstTokenMs));
+  const excessMs = outcome.firstTokenMs - peersMs;
   const isSlow =
-    answered.length > 0 &&
+    answeringPeers.length > 0 &&
     outcome.firstTokenMs > peersMs * options.slowFactor &&
-    overMs > options.slowMarginMs;
+    excessMs > options.slowMarginMs;
   if (!isSlow) return undefined;
-  const mineMs = Math.round(outcome.firstTokenMs);
+  const ownMs = Math.round(outcome.firstTokenMs);
   return {
     vmId: outcome.vmId,
-    severity: overMs / outcome.firstTokenMs,
-    reason: `slow: ${mineMs}ms, peers ${Math.round(peersMs)}ms`,
+    severity: excessMs / outcome.firstTokenMs,
+    reason: `slow: ${ownMs}ms, peers ${Math.round(peersMs)}ms`,
   };
 }
 
--- a/packages/banyanfold-decisions/src/decidePromptWindow.ts
+++ b/packages/banyanfold-decisions/src/decidePromptWindow.ts
@@ -1,20 +1,21 @@
-/** How a stream that ended went, against what its route allows. */
+/** Pauses of a stream that ended, and the limit that its route sets. */
 export interface StreamPace {
-  /** The longest pause between two of its events. */
+  /** Longest pause between two events of the stream. */
   longestPauseMs: number;
-  /** What its route allows for one. */
+  /** Longest pause that the route allows. */
   pauseTargetMs: number;
 }
 
 export interface PromptWindowOptions {
-  /** Prompts that one entry may always have unread at a runner. */
+  /** Number of unread prompts that one entry may always have at a runner. */
   min: number;
   max: number;
-  /** After a stream with too long a pause the window shrinks to this share. */
+  /** Factor that shrinks the window after a stream with too long a pause. */
   decreaseTo: number;
   /**
-   * After one in time it grows by so many prompts. With 0.03 against a tenth, one
-   * stream in eight is late where the window stays, at two prompts.
+   * Prompts added to the window after a stream in time. With 0.03, and a
+   * decrease by a tenth, a window of two prompts is stable when one stream in
+   * eight is late.
    */
   increaseBy: number;
 }
@@ -27,15 +28,16 @@
 };
 
 /**
- * How many prompts an entry may have unread at a runner at once, from the pauses
- * of the streams there: additive increase, multiplicative decrease.
+ * Adjusts the number of prompts that an entry may have unread at a runner, by
+ * additive increase and multiplicative decrease from the pauses of the streams
+ * there.
  *
- * Answers the load of many short prompts among streams with tight pauses. A
- * runner reads prompts in pieces between the tokens of other requests, several
- * that come together in one step; all its streams stand still meanwhile. Spread
- * out, the same prompts hold each step up for less.
+ * Designed for many short prompts next to streams with tight pause targets. A
+ * runner reads prompts in chunks between the tokens of other requests, and
+ * several prompts that arrive together in one step, during which all its
+ * streams pause. Spread out, the same prompts delay each step less.
  *
- * @param window the number before, a fraction of a prompt included.
+ * @param window current size, including the fraction of a prompt.
  * @example decidePromptWindow(4, {longestPauseMs: 300, pauseTargetMs: 150}) // 3.6
  */
 export function decidePromptWindow(
--- a/packages/banyanfold-decisions/src/decideRetry.ts
+++ b/packages/banyanfold-decisions/src/decideRetry.ts
@@ -3,7 +3,7 @@
 
 type StopRule = (view: RetryView, options: RetryOptions) => boolean;
 
-/** What ends an attempt's retries, in the order in which they are tried. */
+/** Reasons not to retry, in the order in which they are checked. */
 const STOP_RULES: Array<[string, StopRule]> = [
   ['first-byte-sent', view => view.firstByteSent],
   ['may-have-started', view => !view.allNeverStarted && !view.repeatable],
@@ -19,9 +19,9 @@
 ];
 
 /**
- * Whether a request whose attempt failed is tried again, and after how long.
- * The delay has full jitter, so that requests which failed together do not
- * come back together.
+ * Decides whether a request whose attempt failed is retried, and after which
+ * delay. The delay has full jitter, so that requests that failed together are
+ * not retried together.
  *
  * @example decideRetry(view, clock.nowMs(), options, random).kind // 'retry'
  */
@@ -31,8 +31,8 @@
   options: RetryOptions = DEFAULT_RETRY_OPTIONS,
   random: Random = () => 0,
 ): RetryDecision {
-  const stop = STOP_RULES.find(([, test]) => test(view, options));
-  if (stop) return {kind: 'stop', reason: stop[0]};
+  const stopRule = STOP_RULES.find(([, stops]) => stops(view, options));
+  if (stopRule) return {kind: 'stop', reason: stopRule[0]};
   const backoffMs =
     options.baseDelayMs * 2 ** Math.max(0, view.attemptsMade - 1);
   const spareMs = view.remainingBudgetMs - options.minRemainingMs;
--- a/packages/banyanfold-decisions/src/decideRoute.ts
+++ b/packages/banyanfold-decisions/src/decideRoute.ts
@@ -12,7 +12,7 @@
   runner: RunnerView;
   waitMs: number;
   scoreMs: number;
-  cached: boolean;
+  hasCachedPrefix: boolean;
 }
 
 type Exclusion = (
@@ -21,11 +21,11 @@
   nowMs: number,
 ) => boolean;
 
-/** Why a runner is no candidate, in the order in which they are tried. */
+/** Reasons to exclude a runner, in the order in which they are checked. */
 const EXCLUSIONS: Array<[string, Exclusion]> = [
   ['unreachable', runner => !runner.reachable],
   ['leaving', runner => runner.leaving],
-  ['no-copy', (runner, request) => !holds(runner, request)],
+  ['no-copy', (runner, request) => !holdsArtifacts(runner, request)],
   [
     'already-tried',
     (runner, request) => request.triedVmIds.includes(runner.vmId),
@@ -34,9 +34,10 @@
 ];
 
 /**
- * Chooses the runner for one request, or refuses it at once.
+ * Chooses the runner for one request, or refuses the request immediately.
  *
- * @param random breaks near ties; without it the first by name is taken.
+ * @param random breaks near ties; without it, the candidate with the lowest
+ * score and name is chosen.
  * @example
  * const decision = decideRoute(view, request, clock.nowMs(), options, random);
  * if (decision.kind === 'route') dispatch(decision.vmId);
@@ -64,7 +65,7 @@
   const inTime = candidates.filter(
     ({waitMs}) => waitMs <= request.firstTokenBudgetMs,
   );
-  const chosen = choose(inTime, options, random);
+  const chosen = chooseNearBest(inTime, options, random);
   for (const candidate of candidates) {
     reasons.push(reasonOf(candidate, candidate === chosen));
   }
@@ -77,7 +78,7 @@
   };
 }
 
-function holds(runner: RunnerView, request: RoutingRequest): boolean {
+function holdsArtifacts(runner: RunnerView, request: RoutingRequest): boolean {
   return (
     runner.artifacts.has(request.artifact) &&
     runner.artifacts.has(request.modelArtifact)
@@ -89,14 +90,16 @@
   request: RoutingRequest,
   nowMs: number,
 ): string | undefined {
-  return EXCLUSIONS.find(([, test]) => test(runner, request, nowMs))?.[0];
+  return EXCLUSIONS.find(([, isExcluded]) =>
+    isExcluded(runner, request, nowMs),
+  )?.[0];
 }
 
 /**
- * The report lags: since it was made the queue has drained for its age, and
- * this entry's own later requests have taken free slots or joined the queue.
- * Without the second part all requests of one report interval go to the runner
- * that looked idle.
+ * Estimates the current wait from a report that lags. Since the report, the
+ * queue has drained for the time of its age, and later requests of this entry
+ * have taken free slots or joined the queue. Without the second part, all
+ * requests of one report interval would go to the runner that was idle.
  */
 function estimateWaitMs(
   runner: RunnerView,
@@ -119,8 +122,8 @@
   options: RouteOptions,
 ): Candidate {
   const waitMs = estimateWaitMs(runner, nowMs, options);
-  const open = runner.running + runner.queued + runner.ownUnreported;
-  let scoreMs = waitMs + open * options.runningCostMs;
+  const openRequests = runner.running + runner.queued + runner.ownUnreported;
+  let scoreMs = waitMs + openRequests * options.runningCostMs;
   if (request.runnerRole !== '' && runner.runnerRole !== request.runnerRole) {
     scoreMs += options.otherRoleCostMs;
   }
@@ -137,12 +140,14 @@
   ) {
     scoreMs += options.kvFullCostMs;
   }
-  const cached =
+  const hasCachedPrefix =
     request.prefixHash !== '' && runner.cachedPrefixes.has(request.prefixHash);
-  return {runner, waitMs, scoreMs, cached};
+  return {runner, waitMs, scoreMs, hasCachedPrefix};
 }
 
-/** A cached prefix counts only while its runner's wait is near the best. */
+/**
+ * A cached prefix counts only while the wait of its runner is near the best.
+ */
 function applyAffinity(
   candidates: Candidate[],
   request: RoutingRequest,
@@ -153,8 +158,8 @@
     bestWaitMs * options.affinityLoadFactor + options.affinitySlackMs;
   const gainMs = request.promptTokens * options.prefixGainPerTokenMs;
   for (const candidate of candidates) {
-    if (!candidate.cached) continue;
-    if (candidate.waitMs > limitMs) candidate.cached = false;
+    if (!candidate.hasCachedPrefix) continue;
+    if (candidate.waitMs > limitMs) candidate.hasCachedPrefix = false;
     else candidate.scoreMs -= gainMs;
   }
 }
@@ -164,7 +169,7 @@
   return a.runner.vmId < b.runner.vmId ? -1 : 1;
 }
 
-function choose(
+function chooseNearBest(
   candidates: Candidate[],
   options: RouteOptions,
   random: Random | undefined,
@@ -172,12 +177,12 @@
   const best = candidates[0];
   if (!best || !random) return best;
   const limitMs = best.scoreMs + options.randomSpreadMs;
-  const near = candidates.filter(({scoreMs}) => scoreMs <= limitMs);
-  return near[Math.floor(random() * near.length)] ?? best;
+  const nearBest = candidates.filter(({scoreMs}) => scoreMs <= limitMs);
+  return nearBest[Math.floor(random() * nearBest.length)] ?? best;
 }
 
 function reasonOf(candidate: Candidate, chosen: boolean): CandidateReason {
-  const cause = candidate.cached ? 'cached-prefix' : 'wait';
+  const cause = candidate.hasCachedPrefix ? 'cached-prefix' : 'wait';
   return {
     vmId: candidate.runner.vmId,
     scoreMs: candidate.scoreMs,
@@ -185,7 +190,7 @@
   };
 }
 
-/** The shortest queue says when it will have drained far enough. */
+/** The shortest queue determines when a retry can succeed. */
 function refuseLate(
   candidates: Candidate[],
   request: RoutingRequest,
@@ -208,13 +213,13 @@
   reasons: CandidateReason[],
   options: RouteOptions,
 ): RoutingDecision {
-  const anyUp = reasons.some(
+  const anyReachable = reasons.some(
     ({reason}) => reason !== 'unreachable' && reason !== 'leaving',
   );
-  const anyCopy = reasons.some(
+  const anyHolder = reasons.some(
     ({reason}) => reason === 'already-tried' || reason === 'ejected',
   );
-  if (!anyUp) {
+  if (!anyReachable) {
     return {
       kind: 'refuse',
       code: 'no-runner',
@@ -224,8 +229,8 @@
   }
   return {
     kind: 'refuse',
-    code: anyCopy ? 'all-busy' : 'no-copy',
-    retryAfterMs: anyCopy
+    code: anyHolder ? 'all-busy' : 'no-copy',
+    retryAfterMs: anyHolder
       ? options.minRetryAfterMs
       : options.noCopyRetryAfterMs,
     reasons,
--- a/packages/banyanfold-decisions/src/decideSend.ts
+++ b/packages/banyanfold-decisions/src/decideSend.ts
@@ -1,34 +1,38 @@
-/** What an entry knows of one runner's queue. */
+/** State of a runner's queue, and the time that a request has left. */
 export interface SendView {
-  /** Work there, of all entries, that is no less urgent than this request. */
+  /** Work of all entries at the runner that is at least as urgent. */
   workAhead: number;
-  /** How much work a second the runner got through lately. */
+  /** Work per second that the runner has completed recently. */
   workPerSecond: number;
-  /** Requests open there, of all entries, and how many run at once. */
+  /** Requests of all entries at the runner; `slots` of them run at once. */
   openRequests?: number;
   slots?: number;
-  /** Until the caller leaves. */
+  /** Time until the caller disconnects. */
   leftMs: number;
-  /** Until its deadline, if that is later; a caller that comes back has it. */
+  /** Time until the deadline, if later; a caller that retries has this long. */
   deadlineLeftMs?: number;
-  /** Until the target passes; negative when it has. */
+  /** Time until the target is missed; negative after that. */
   targetLeftMs: number;
 }
 
 export interface SendOptions {
-  /** Less work than this, two long prompts, is no queue. */
+  /** Less work than this, two long prompts, does not count as a queue. */
   minQueuedWork: number;
   /**
-   * Of the caller's time a wait may take this share; the rest is for the stream.
-   * An answer after its target is still worth something, and a caller that is
-   * refused comes back only once, so that no wait up to here is refused.
-   * Reasoned, not compared with other shares.
+   * Share of the remaining time of the caller that the wait may take; the rest
+   * is for the stream. A longer wait than the target is accepted up to this
+   * share, because a late answer still has value and a refused caller retries
+   * only once.
    */
   maxWaitShare: number;
-  /** A run holds its place for so long, in ms: streams of today take 1 to 3 s. */
+  /**
+   * Time for which a request occupies its slot, in ms; streams take 1 to 3 s.
+   */
   runDurationMs: number;
   minRetryAfterMs: number;
-  /** Callers heed a time to come back up to this share of what they have left. */
+  /**
+   * Callers honour a Retry-After of up to this share of their remaining time.
+   */
   maxRetryAfterShare: number;
 }
 
@@ -47,12 +51,13 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Whether a request is sent to a runner that has a queue, or refused at once.
+ * Decides whether a request is sent to a runner that has a queue, or is refused
+ * immediately.
  *
- * Answers the load of one runner that holds the only copy of a model in demand:
- * its queue grows until all in it give up before their turn, and nobody is
- * served. With the queue kept short those that are sent are answered, and the
- * others learn at once when to come back.
+ * Designed for a runner that holds the only copy of a model in demand. Without
+ * refusals its queue grows until all callers in it leave before their turn, and
+ * none is served. With a short queue, the requests that are sent get an answer
+ * and the other callers learn immediately when to retry.
  *
  * @example decideSend({workAhead: 400, workPerSecond: 40,
  *   leftMs: 6000, targetLeftMs: 800}).kind // 'refuse'
@@ -62,7 +67,7 @@
   options: SendOptions = DEFAULT_SEND_OPTIONS,
 ): SendDecision {
   const {leftMs, deadlineLeftMs = leftMs, targetLeftMs} = view;
-  const waitMs = waitOf(view, options);
+  const waitMs = estimateWaitMs(view, options);
   const allowedMs = Math.max(targetLeftMs, leftMs * options.maxWaitShare);
   if (waitMs <= allowedMs) return {kind: 'send', waitMs};
   const retryAfterMs = Math.min(
@@ -73,20 +78,20 @@
 }
 
 /**
- * Until the first byte, by how fast the runner gets through its work, or by when
- * a place in its batch comes free, whichever is later.
+ * Time to the first byte: until the runner has read the work ahead, or until a
+ * slot is free, whichever is later.
  */
-function waitOf(view: SendView, options: SendOptions): number {
-  return Math.max(readWaitOf(view, options), placeWaitOf(view, options));
+function estimateWaitMs(view: SendView, options: SendOptions): number {
+  return Math.max(prefillWaitMs(view, options), slotWaitMs(view, options));
 }
 
-function readWaitOf(view: SendView, options: SendOptions): number {
+function prefillWaitMs(view: SendView, options: SendOptions): number {
   const {workAhead, workPerSecond} = view;
   if (workAhead < options.minQueuedWork) return 0;
   return (workAhead * MS_PER_SECOND) / Math.max(workPerSecond, 1);
 }
 
-function placeWaitOf(view: SendView, options: SendOptions): number {
+function slotWaitMs(view: SendView, options: SendOptions): number {
   const {openRequests = 0, slots = Number.POSITIVE_INFINITY} = view;
   return (Math.max(0, openRequests - slots) / slots) * options.runDurationMs;
 }
--- a/packages/banyanfold-decisions/src/decideWait.ts
+++ b/packages/banyanfold-decisions/src/decideWait.ts
@@ -1,18 +1,20 @@
 /** A request that waits for a copy of its model. */
 export interface WaitView {
-  /** Until its caller leaves. */
+  /** Time until the caller disconnects. */
   leftMs: number;
-  /** Until its deadline, if that is later; a caller that comes back has it. */
+  /** Time until the deadline, if later; a caller that retries has this long. */
   deadlineLeftMs?: number;
-  /** Until a copy serves; undefined when nobody has told. */
+  /** Time until a copy serves; undefined if it is unknown. */
   copyInMs?: number;
 }
 
 export interface WaitOptions {
-  /** A prompt takes this long to its first token where nothing queues. */
+  /** Time from dispatch to the first token at a runner without a queue. */
   firstTokenMs: number;
   minRetryAfterMs: number;
-  /** Callers heed a time to come back up to this share of what they have left. */
+  /**
+   * Callers honour a Retry-After of up to this share of their remaining time.
+   */
   maxRetryAfterShare: number;
 }
 
@@ -26,12 +28,12 @@
   {kind: 'wait'} | {kind: 'refuse'; retryAfterMs: number};
 
 /**
- * Whether a request waits for a copy of its model, or is refused at once because
- * the copy comes after its caller has given up.
+ * Decides whether a request waits for a copy of its model, or is refused
+ * immediately because the copy will be ready only after the caller has left.
  *
- * Answers the load of demand that moves to a model which nobody holds: its load
- * takes longer than callers of drafts wait, and all who asked in the first
- * second were held until their time was over, only to be refused then.
+ * Designed for demand that moves to a model without copies. Loading the model
+ * takes longer than callers of drafts wait. Without this check, all requests of
+ * the first second are held until their time is over and then refused.
  *
  * @example decideWait({leftMs: 5_000, copyInMs: 5_800}).kind // 'refuse'
  */
--- a/packages/banyanfold-decisions/src/options.ts
+++ b/packages/banyanfold-decisions/src/options.ts
@@ -7,11 +7,11 @@
 export const routeOptionsSchema = z.strictObject({
   /** Added for each own request that the latest report doesn't include. */
   unreportedCostMs: durationMsSchema.default(20),
-  /** Requests a runner runs at once, where its view doesn't say. */
+  /** Requests that a runner runs at once, if its view doesn't say. */
   assumedMaxRunning: z.number().int().nonnegative().default(16),
   /**
-   * Added for each request open there: each slows the others' tokens down,
-   * long before any of them queues.
+   * Added for each request in flight at the runner: each slows down the tokens
+   * of the others long before any request queues.
    */
   runningCostMs: durationMsSchema.default(30),
   /** Added for a runner of another role than the selector prefers. */
@@ -20,19 +20,21 @@
   otherRegionCostMs: durationMsSchema.default(50),
   /** Added for a runner in another failure domain; small, to break ties. */
   otherDomainCostMs: durationMsSchema.default(1),
-  /** Added for a runner whose KV cache can't take the request now. */
+  /** Added for a runner whose KV cache cannot take the request now. */
   kvFullCostMs: durationMsSchema.default(200),
   /** Prefill time that one cached prompt token saves. */
   prefixGainPerTokenMs: z.number().nonnegative().default(0.05),
-  /** Prefix affinity ends where the wait passes this many times the best. */
+  /**
+   * Prefix affinity ends when the wait exceeds the best wait by this factor.
+   */
   affinityLoadFactor: z.number().min(1).default(1.5),
-  /** Prefix affinity also holds within this much of the best wait. */
+  /** Prefix affinity also holds within this distance of the best wait. */
   affinitySlackMs: durationMsSchema.default(40),
   /** A report older than this counts as lost. */
   reportStaleMs: durationMsSchema.default(3_000),
   /** Added for a runner whose report is lost. */
   staleCostMs: durationMsSchema.default(100),
-  /** Candidates this close to the best are chosen from at random. */
+  /** One of the candidates this close to the best is chosen at random. */
   randomSpreadMs: durationMsSchema.default(5),
   /** Bounds of the Retry-After of a refusal. */
   minRetryAfterMs: durationMsSchema.default(250),
@@ -43,7 +45,7 @@
 
 /** Options of {@link decideAdmission}. */
 export const admissionOptionsSchema = z.strictObject({
-  /** The estimate may pass the budget by this factor before refusal. */
+  /** The estimate may exceed the budget by this factor before a refusal. */
   budgetTolerance: z.number().positive().default(1),
   /** Share of the queue that classes other than 0 may fill. */
   lowerClassQueueShare: shareSchema.default(0.75),
@@ -53,13 +55,13 @@
 
 /** Options of {@link pickNext}. */
 export const queueOptionsSchema = z.strictObject({
-  /** Smoothed time from dispatch to first token; the agent measures it. */
+  /** Smoothed time from dispatch to the first token, measured by the agent. */
   firstTokenMs: durationMsSchema.default(0),
-  /** Smoothed time between two dispatches; the agent measures it. */
+  /** Smoothed time between two dispatches, measured by the agent. */
   dispatchIntervalMs: durationMsSchema.default(50),
-  /** KV memory that is free; requests that need more are passed over. */
+  /** Free KV memory; requests that need more are skipped. */
   kvFreeBytes: z.number().default(Number.POSITIVE_INFINITY),
-  /** Of this many dispatches one goes to the lowest class. */
+  /** One of this many dispatches goes to the lowest class. */
   agedEvery: z.number().int().min(2).default(10),
   minRetryAfterMs: durationMsSchema.default(250),
   maxRetryAfterMs: durationMsSchema.default(30_000),
@@ -70,63 +72,67 @@
   maxAttempts: z.number().int().min(1).default(3),
   baseDelayMs: durationMsSchema.default(10),
   maxDelayMs: durationMsSchema.default(200),
-  /** A retry with less than this left can't succeed. */
+  /** A retry with less time left cannot succeed. */
   minRemainingMs: durationMsSchema.default(20),
 });
 
 /** Options of {@link decideEjections}. */
 export const ejectionOptionsSchema = z.strictObject({
-  /** Runners with fewer outcomes than this are not judged. */
+  /** Runners with fewer outcomes are not compared. */
   minOutcomes: z.number().int().min(1).default(8),
-  /** Judged only among at least this many peers. */
+  /** Minimum number of runners in a comparison. */
   minPeers: z.number().int().min(2).default(3),
-  /** Failing: its failure share passes the peers' median by this much. */
+  /** A failing runner's failure share exceeds its peers' median by this. */
   failureMargin: shareSchema.default(0.3),
-  /** Slow: its first token takes this many times the peers' median. */
+  /** A slow runner's first token takes this many times its peers' median. */
   slowFactor: z.number().min(1).default(3),
-  /** Slow also means at least this much over the peers' median. */
+  /** A slow runner's first token also takes this much longer than that. */
   slowMarginMs: durationMsSchema.default(200),
-  /** At most this share of all runners is ejected; always under half. */
+  /**
+   * Share of all runners that may be ejected at a time; always less than half.
+   */
   maxEjectedShare: shareSchema.default(0.34),
   ejectionMs: durationMsSchema.default(10_000),
 });
 
 /** Options of {@link decidePlacement}. */
 export const placementOptionsSchema = z.strictObject({
-  /** What one request more in target is worth. */
+  /** Value of one more request in target. */
   attainmentWeight: z.number().nonnegative().default(1),
-  /** What one move of a model costs, in the same unit. */
+  /** Cost of one move of a model, in the same unit. */
   moveWeight: z.number().nonnegative().default(20),
-  /** An adapter's move, as a share of a model's. */
+  /** Cost of an adapter's move, as a share of a model's. */
   adapterMoveShare: shareSchema.default(0.1),
-  /** The weight store's limits. */
+  /** Limits of the weight store. */
   loadsPerSecond: z.number().positive().default(1),
   loadsAtOnce: z.number().int().min(1).default(4),
-  /** Artifacts without a copy for which memory is made free at once. */
+  /** Artifacts without a copy for which memory is freed at a time. */
   roomsAtOnce: z.number().int().min(1).default(3),
-  /** Over this horizon a gain is counted against the price of its moves. */
+  /** Time over which a gain is compared with the cost of its moves. */
   horizonMs: durationMsSchema.default(60_000),
-  /** A gain must pass the price by this factor. */
+  /** A gain must exceed the cost by this factor. */
   hysteresis: z.number().min(1).default(1.5),
-  /** Requests a runner runs at once, where its view doesn't say. */
+  /** Requests that a runner runs at once, if its view doesn't say. */
   assumedMaxRunning: z.number().int().positive().default(16),
-  /** Time of an answer, where no request has shown it yet. */
+  /** Time of an answer, until a request has shown it. */
   assumedServiceTimeMs: z.number().positive().default(4_000),
-  /** Above this share of its slots in use a runner counts as hot. */
+  /** A runner with a larger share of its slots in use counts as hot. */
   highUtilization: shareSchema.default(0.6),
-  /** Above this a runner is so far over that copies in use make room. */
+  /**
+   * Above this load of a runner, copies in use are retired for extra copies.
+   */
   severeLoad: z.number().min(1).default(2),
-  /** Below this share a runner can help others. */
+  /** A runner below this share can take load from others. */
   lowUtilization: shareSchema.default(0.4),
-  /** A surplus copy may be retired after this long without a request. */
+  /** A surplus copy may be retired after this time without a request. */
   retireIdleMs: durationMsSchema.default(30_000),
-  /** More copies than this of one artifact are never made. */
+  /** Maximum number of copies of one artifact. */
   maxCopies: z.number().int().min(1).default(8),
-  /** Requests queued on each runner of a role that mean it drowns. */
+  /** Mean queue length per runner from which a role counts as overloaded. */
   drowningQueued: z.number().nonnegative().default(6),
-  /** A role keeps at least this many runners. */
+  /** Minimum number of runners of a role. */
   minRunnersPerRole: z.number().int().min(1).default(1),
-  /** When the last role change was made, and how long to keep it. */
+  /** Time of the last role change, and minimum time between two of them. */
   lastRoleChangeMs: z.number().default(Number.NEGATIVE_INFINITY),
   roleHoldMs: durationMsSchema.default(60_000),
 });
--- a/packages/banyanfold-decisions/src/pickNext.ts
+++ b/packages/banyanfold-decisions/src/pickNext.ts
@@ -4,11 +4,11 @@
 /**
  * Picks the request to run next: by class, then by earliest deadline. One of
  * `agedEvery` dispatches goes to the lowest class that waits, so that no class
- * starves. Requests that can't make their deadline any more are named, to be
- * refused at once.
+ * starves. Requests that can no longer meet their deadline are returned, so
+ * that they are refused immediately.
  *
- * @param dispatchCount dispatches made so far; without it the clock's
- *   milliseconds stand in, which gives the lowest class the same share.
+ * @param dispatchCount dispatches made so far; by default the milliseconds of
+ * the clock, which give the lowest class the same share.
  * @example
  * const {next, tooLate} = pickNext(queue, clock.nowMs(), options, count);
  */
@@ -22,23 +22,24 @@
   const inTime: QueuedRequest[] = [];
   for (const request of queue) {
     const firstTokenMs = request.firstTokenMs ?? options.firstTokenMs;
-    const late = request.deadlineMs < nowMs + firstTokenMs;
-    (late ? tooLate : inTime).push(request);
+    const isLate = request.deadlineMs < nowMs + firstTokenMs;
+    (isLate ? tooLate : inTime).push(request);
   }
   const startable = inTime.filter(
     ({kvBytes}) => kvBytes <= options.kvFreeBytes,
   );
-  const agedTurn = dispatchCount % options.agedEvery === options.agedEvery - 1;
-  const order = agedTurn ? byLowestClass : byClass;
+  const isAgedTurn =
+    dispatchCount % options.agedEvery === options.agedEvery - 1;
+  const compare = isAgedTurn ? byLowestClass : byClass;
   const next = startable.reduce<QueuedRequest | undefined>(
-    (best, request) => (!best || order(request, best) < 0 ? request : best),
+    (best, request) => (!best || compare(request, best) < 0 ? request : best),
     undefined,
   );
   return {
     next,
     tooLate,
     retryAfterMs: drainMs(inTime.length, options),
-    reason: reasonOf(next, inTime.length, agedTurn),
+    reason: reasonOf(next, inTime.length, isAgedTurn),
   };
 }
 
@@ -66,8 +67,8 @@
 function reasonOf(
   next: QueuedRequest | undefined,
   waiting: number,
-  agedTurn: boolean,
+  isAgedTurn: boolean,
 ): string {
-  if (next) return agedTurn ? 'aged-share' : 'class-then-deadline';
+  if (next) return isAgedTurn ? 'aged-share' : 'class-then-deadline';
   return waiting === 0 ? 'nothing-waits' : 'no-kv-memory';
 }
--- a/packages/banyanfold-decisions/src/rankByWeight.ts
+++ b/packages/banyanfold-decisions/src/rankByWeight.ts
@@ -1,8 +1,8 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Sorts entries by a weight, the heaviest first, and equals in an order that
- * doesn't follow their addresses, so that they are spread over the failure domains.
+ * Sorts entries by descending weight. Ties are ordered by a hash of the
+ * address, which spreads them over the failure domains.
  *
  * @example rankByWeight(entries, entry => entry.processorShare)[0] // the largest
  */
@@ -19,7 +19,7 @@
   return ranked.map(({entry}) => entry);
 }
 
-/** Sorts texts in an order that looks random and is the same in every process. */
+/** Returns a sort key that looks random and is the same in every process. */
 export function hashRank(text: string): string {
   return createHash('sha1').update(text).digest('hex');
 }
--- a/packages/banyanfold-decisions/src/types.ts
+++ b/packages/banyanfold-decisions/src/types.ts
@@ -1,21 +1,23 @@
 /**
- * What the decision functions read and return. Extend these types; a rename
- * breaks entry and agent.
+ * Types that the decision functions read and return. The entry and the agent
+ * depend on their names.
  */
 
-/** A generator of numbers in [0, 1); passed in, so that runs repeat. */
+/**
+ * Returns numbers in [0, 1); passed as a parameter so that runs are repeatable.
+ */
 export type Random = () => number;
 
-/** One reason line for each candidate looked at. */
+/** Why one candidate was chosen or not. */
 export interface CandidateReason {
   vmId: string;
-  /** Lower is better: the estimated wait with all penalties, in ms. */
+  /** Estimated wait with all penalties, in ms; lower is better. */
   scoreMs: number;
-  /** Why it was chosen or left out, in a word or two. */
+  /** Why it was chosen or excluded, in one or two words. */
   reason: string;
 }
 
-/** What an entry believes of one runner. */
+/** State of one runner, as far as an entry knows it. */
 export interface RunnerView {
   vmId: string;
   failureDomain: string;
@@ -23,29 +25,29 @@
   runnerRole: string;
   reachable: boolean;
   leaving: boolean;
-  /** Until when the runner is ejected as slow or failing; 0 when it isn't. */
+  /** End of its ejection as slow or failing; 0 if it is not ejected. */
   ejectedUntilMs: number;
   /** When the entry received the latest report. */
   reportReceivedMs: number;
   running: number;
   queued: number;
-  /** The runner's own estimate of the wait to a first token. */
+  /** The runner's own estimate of the time to a first token. */
   queueDelayMs: number;
-  /** Requests it runs at once, where the entry knows it. */
+  /** Requests that it runs at once, if the entry knows. */
   maxRunning?: number;
   kvUsedBytes: number;
   kvCapacityBytes: number;
-  /** Requests this entry sent after the report was made, and still open. */
+  /** Requests in flight that this entry sent after the report was made. */
   ownUnreported: number;
   /** Artifacts that are held and can serve. */
   artifacts: ReadonlySet<string>;
-  /** Prefix hashes believed to be cached there. */
+  /** Hashes of the prefixes that are probably cached there. */
   cachedPrefixes: ReadonlySet<string>;
 }
 
 export interface RoutingView {
   runners: readonly RunnerView[];
-  /** Where the entry is itself. */
+  /** Location of the entry itself. */
   failureDomain: string;
   region: string;
 }
@@ -54,14 +56,14 @@
   artifact: string;
   modelArtifact: string;
   priority: number;
-  /** The runner role the selector prefers; empty for any. */
+  /** The runner role that the selector prefers; empty for any. */
   runnerRole: string;
   prefixHash: string;
   promptTokens: number;
   maxTokens: number;
-  /** For its first token, or for the whole answer of a service. */
+  /** Time to the first token, or to the whole answer of a service. */
   firstTokenBudgetMs: number;
-  /** Runners that this request has tried already. */
+  /** Runners that were tried for this request. */
   triedVmIds: readonly string[];
 }
 
@@ -79,7 +81,7 @@
       reasons: CandidateReason[];
     };
 
-/** A request that waits at an agent. */
+/** A request that is queued at an agent. */
 export interface QueuedRequest {
   attemptId: string;
   priority: number;
@@ -91,18 +93,18 @@
   firstTokenMs?: number;
 }
 
-/** Which request an agent runs next, and which it refuses at once. */
+/** The request that an agent runs next, and those that it refuses. */
 export interface QueueDecision {
-  /** Undefined when nothing waits, or nothing that waits can start now. */
+  /** Undefined if nothing waits, or nothing that waits can start now. */
   next: QueuedRequest | undefined;
-  /** These can't make their deadline any more; refuse them now. */
+  /** Requests that can no longer meet their deadline, to be refused now. */
   tooLate: QueuedRequest[];
-  /** When a caller refused now may come back. */
+  /** Time after which a caller refused now may retry. */
   retryAfterMs: number;
   reason: string;
 }
 
-/** What an agent knows when a request comes or a slot gets free. */
+/** State of an agent when a request arrives or a slot becomes free. */
 export interface AdmissionView {
   running: number;
   maxRunning: number;
@@ -120,9 +122,10 @@
   firstTokenBudgetMs: number;
   kvBytes: number;
   /**
-   * Smoothed time from dispatch to first token of requests of this class; the
-   * view's when left out. A draft takes many times a short answer's, so that
-   * one figure for both has short answers refused beside drafts.
+   * Smoothed time from dispatch to the first token for requests of this class;
+   * by default that of the view. A draft takes many times as long as a short
+   * answer, so that a common value would cause short answers to be refused next
+   * to drafts.
    */
   firstTokenMs?: number;
 }
@@ -142,9 +145,9 @@
   attemptsMade: number;
   /** Tokens left in the process's retry budget. */
   budgetTokens: number;
-  /** True once any byte has reached the caller. */
+  /** Whether any byte has reached the caller. */
   firstByteSent: boolean;
-  /** True when each attempt so far is proved not to have started. */
+  /** Whether each attempt so far provably never started. */
   allNeverStarted: boolean;
   repeatable: boolean;
   remainingBudgetMs: number;
@@ -154,18 +157,18 @@
   | {kind: 'retry'; delayMs: number; reason: string}
   | {kind: 'stop'; reason: string};
 
-/** Measured behaviour of one runner over the last window. */
+/** Measured behaviour of one runner within the last window. */
 export interface RunnerOutcomes {
   vmId: string;
   successes: number;
   failures: number;
-  /** Median over the window; 0 when no answer came. */
+  /** Median over the window; 0 if there was no answer. */
   firstTokenMs: number;
-  /** Until when it is ejected already; it counts against the limit. */
+  /** End of a current ejection, which counts against the limit. */
   ejectedUntilMs?: number;
   /**
-   * Runners are compared only within a group, for example their role: drafts
-   * take longer to a first token than short answers on a healthy runner.
+   * Runners are compared only within a group, for example their role: on a
+   * healthy runner, drafts take longer to a first token than short answers.
    */
   peerGroup?: string;
 }
@@ -194,24 +197,24 @@
   memoryFreeBytes: number;
   running: number;
   queued: number;
-  /** Requests it runs at once, where the planner knows it. */
+  /** Requests that it runs at once, if the planner knows. */
   maxRunning?: number;
   copies: readonly PlacementCopy[];
 }
 
-/** One labelled model or adapter version. */
+/** One published version of a model or adapter. */
 export interface PlacementArtifact {
   artifact: string;
-  /** The model's artifact; the same as `artifact` for a model. */
+  /** Artifact of the model; the same as `artifact` for a model. */
   modelArtifact: string;
   bytes: number;
-  /** The best priority of the selectors that reach it; 0 is first. */
+  /** Best priority of the selectors that reach it; 0 is the highest. */
   priority: number;
-  /** The runner role it prefers; empty for any. */
+  /** The runner role that it prefers; empty for any. */
   runnerRole: string;
-  /** Smoothed requests a second. */
+  /** Smoothed requests per second. */
   demandPerSecond: number;
-  /** Smoothed time from dispatch to the end of an answer, where known. */
+  /** Smoothed time from dispatch to the end of an answer, if known. */
   serviceTimeMs?: number;
   /** Callers refused or waiting for lack of a copy since the last decision. */
   waiting: number;
@@ -220,9 +223,9 @@
 export interface PlacementView {
   runners: readonly PlacementRunner[];
   artifacts: readonly PlacementArtifact[];
-  /** Load proposals sent and not yet seen as held or failed. */
+  /** Proposed loads that are not yet reported as held or failed. */
   loadsInFlight: number;
-  /** When the most recent load proposal was sent. */
+  /** When the most recent load was proposed. */
   lastLoadMs: number;
 }
 
