--- a/packages/banyanfold-decisions/src/__tests__/admissionAndQueue.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/admissionAndQueue.test.ts
@@ -17,13 +17,17 @@
     ['runs in a free slot', {}, {}],
     ['queues behind full slots', {running: 4}, {}],
     ['waits for KV memory', {running: 3, kvFreeBytes: 5}, {}],
-    ['refuses what never fits', {kvFreeBytes: 5}, {}],
+    ['refuses a request that never fits', {kvFreeBytes: 5}, {}],
     ['refuses a full queue', {...room, maxQueued: 2}, {priority: 0}],
-    ['keeps the last places for the best class', room, {}],
+    ['reserves the last places for the best class', room, {}],
     ['gives the last places to the best class', room, {priority: 0}],
-    ['refuses what comes too late', {running: 4}, {firstTokenBudgetMs: 100}],
     [
-      'goes by the first-token time of its class, where known',
+      'refuses a request that would be late',
+      {running: 4},
+      {firstTokenBudgetMs: 100},
+    ],
+    [
+      'uses the first-token time of its class if known',
       {firstTokenMs: 900},
       {firstTokenMs: 30},
     ],
@@ -35,7 +39,7 @@
     expect(decideAdmission(admissionView(view), full, 0)).toMatchSnapshot();
   });
 
-  it('never makes a caller wait who is told a time to come back', () => {
+  it('refuses late requests, always with a positive retry time', () => {
     fc.assert(
       fc.property(
         fc.nat(8),
@@ -65,12 +69,12 @@
     deadlineMs: 400,
   });
 
-  it('goes by class, then by deadline', () => {
+  it('orders by class, then by deadline', () => {
     const {next} = pickNext([draft, desk, urgent], 0, undefined, 0);
     expect(next?.attemptId).toBe('urgent');
   });
 
-  it('names what is too late, to be refused now', () => {
+  it('returns requests that are too late, to be refused now', () => {
     const options = {...DEFAULT_QUEUE_OPTIONS, firstTokenMs: 50};
     const decision = pickNext([desk, urgent, draft], 460, options, 0);
     expect(decision.tooLate.map(({attemptId}) => attemptId)).toEqual([
@@ -81,9 +85,9 @@
     expect(decision.retryAfterMs).toBeGreaterThan(0);
   });
 
-  it('refuses no short answer for the time that drafts take', () => {
-    // Callers at the counter were refused by an idle runner: its smoothed
-    // first token, all from drafts, was longer than their whole budget.
+  it('does not refuse short answers by the first-token time of drafts', () => {
+    // Guards against an idle runner that refuses short answers because its
+    // smoothed first-token time, from drafts only, exceeds their whole budget.
     const options = {...DEFAULT_QUEUE_OPTIONS, firstTokenMs: 600};
     const short = {...urgent, firstTokenMs: 30};
     const {next, tooLate} = pickNext([short, urgent], 0, options, 0);
@@ -91,7 +95,7 @@
     expect(tooLate).toEqual([urgent]);
   });
 
-  it('passes over what lacks KV memory', () => {
+  it('skips requests that need more KV memory than is free', () => {
     const options = {...DEFAULT_QUEUE_OPTIONS, kvFreeBytes: 5};
     const large = {...urgent, kvBytes: 9};
     expect(pickNext([large, desk], 0, options, 0).next).toBe(desk);
--- a/packages/banyanfold-decisions/src/__tests__/attributeCrashes.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/attributeCrashes.test.ts
@@ -5,7 +5,7 @@
   type CrashHistory,
 } from '../crashes/attributeCrashes.js';
 
-function row(
+function history(
   fingerprint: string,
   crashes: string[],
   fields: Partial<CrashHistory> = {},
@@ -22,95 +22,106 @@
 
 function verdicts(rows: CrashHistory[], unsettled: string[] = []) {
   return Object.fromEntries(
-    attributeCrashes(rows, life => !unsettled.includes(life)),
+    attributeCrashes(rows, incarnation => !unsettled.includes(incarnation)),
   );
 }
 
 describe('attributeCrashes', () => {
-  it('lets one crash go by, and suspects from the second on', () => {
-    expect(verdicts([row('a', ['1']), row('b', ['1', '2'])])).toEqual({
+  it('ignores one crash and suspects from the second on', () => {
+    expect(verdicts([history('a', ['1']), history('b', ['1', '2'])])).toEqual({
       b: 'suspect',
     });
   });
 
-  it('blames nobody while two were at the same three runners', () => {
-    // Both would be refused, though one of them crashes nothing. What tells them
-    // apart is the next run, each by itself.
-    const together = [row('a', ['1', '2', '3']), row('b', ['1', '2', '3'])];
+  it('quarantines neither of two that were at the same three runners', () => {
+    // Guards against quarantining both although only one causes crashes. Their
+    // next runs, each in a trial, tell them apart.
+    const together = [
+      history('a', ['1', '2', '3']),
+      history('b', ['1', '2', '3']),
+    ];
     expect(verdicts(together)).toEqual({a: 'suspect', b: 'suspect'});
   });
 
-  it('clears those that only ran beside the one to blame', () => {
-    // The guilty one ran by itself and crashed a fourth runner; its companions
-    // of the first three are served like all others at once.
+  it('clears requests that only ran beside the cause', () => {
+    // Guards against refusing the requests that shared the first three runners
+    // with the cause. They are served normally once it has crashed a fourth
+    // runner in a trial.
     const rows = [
-      row('guilty', ['1', '2', '3', '4']),
-      row('beside', ['1', '2', '3']),
-      row('twice', ['1', '2', '9']),
-      row('elsewhere', ['8', '9']),
+      history('cause', ['1', '2', '3', '4']),
+      history('beside', ['1', '2', '3']),
+      history('twice', ['1', '2', '9']),
+      history('elsewhere', ['8', '9']),
     ];
     expect(verdicts(rows)).toEqual({
-      guilty: 'quarantined',
+      cause: 'quarantined',
       elsewhere: 'suspect',
     });
   });
 
-  it('finds two that crash runners by turns', () => {
+  it('finds two causes that crash runners in turn', () => {
     const rows = [
-      row('a', ['1', '2', '3', '4']),
-      row('b', ['3', '5', '6', '7']),
-      row('beside both', ['3', '4', '5']),
+      history('a', ['1', '2', '3', '4']),
+      history('b', ['3', '5', '6', '7']),
+      history('beside both', ['3', '4', '5']),
     ];
     expect(verdicts(rows)).toEqual({a: 'quarantined', b: 'quarantined'});
   });
 
-  it('waits until all entries can have told who was at a runner', () => {
-    // The first to tell would be blamed: it tells of the third crash 0.2 s before
-    // another entry does, where the one that caused all three was sent from.
-    const rows = [row('first to tell', ['1', '2', '3'])];
-    expect(verdicts(rows, ['3'])).toEqual({'first to tell': 'suspect'});
+  it('waits until all entries have reported which requests were at a runner', () => {
+    // Guards against quarantining the request that is reported first. Another
+    // entry, which sent the actual cause, reports the third crash 0.2 s later.
+    const rows = [history('reported first', ['1', '2', '3'])];
+    expect(verdicts(rows, ['3'])).toEqual({'reported first': 'suspect'});
   });
 
-  it('keeps one in quarantine while news of late crashes comes in', () => {
-    const rows = [row('guilty', ['1', '2', '3', '4', '5'])];
-    expect(verdicts(rows, ['5'])).toEqual({guilty: 'quarantined'});
-    const known = [row('guilty', [], {hasPriorQuarantine: true})];
-    expect(verdicts(known)).toEqual({guilty: 'quarantined'});
+  it('keeps a request in quarantine while later crashes are reported', () => {
+    const rows = [history('cause', ['1', '2', '3', '4', '5'])];
+    expect(verdicts(rows, ['5'])).toEqual({cause: 'quarantined'});
+    const known = [history('cause', [], {hasPriorQuarantine: true})];
+    expect(verdicts(known)).toEqual({cause: 'quarantined'});
   });
 
-  it('blames none that has not crashed a runner by itself', () => {
-    // A rack loses power, and with it three runners that had the same popular
-    // request; nothing else was at all three of them.
-    const popular = row('popular', ['1', '2', '3'], {hasCrashedAlone: false});
+  it('does not quarantine a request that crashed no runner in a trial', () => {
+    // Guards against quarantining a popular request when a rack loses power and
+    // three runners that had it fail. No other request was at all three of
+    // them.
+    const popular = history('popular', ['1', '2', '3'], {
+      hasCrashedAlone: false,
+    });
     expect(verdicts([popular])).toEqual({popular: 'suspect'});
   });
 
-  it('takes two trials without a result for a proof', () => {
-    // Its callers leave before it begins, each time; without an end to it, it
-    // would reach runners for ever.
+  it('treats two trials without a result as proof', () => {
+    // Guards against a request that reaches runners forever because its callers
+    // leave before each trial begins.
     const rows = [
-      row('a', ['1', '2', '3'], {unresolvedTrials: 2}),
-      row('b', ['1', '2', '3']),
+      history('a', ['1', '2', '3'], {unresolvedTrials: 2}),
+      history('b', ['1', '2', '3']),
     ];
     expect(verdicts(rows)).toEqual({a: 'quarantined'});
   });
 
-  it('never blames one that was only at runners that another crashed', () => {
-    const lives = fc.uniqueArray(fc.nat(30), {minLength: 4, maxLength: 12});
-    const scenario = lives.chain(guilty =>
+  it('never quarantines a request that only ran beside the cause', () => {
+    const incarnations = fc.uniqueArray(fc.nat(30), {
+      minLength: 4,
+      maxLength: 12,
+    });
+    const scenario = incarnations.chain(cause =>
       fc.record({
-        guilty: fc.constant(guilty),
-        // Each was at fewer of them, as none of them causes a crash.
-        beside: fc.array(fc.subarray(guilty.slice(1)), {maxLength: 20}),
+        cause: fc.constant(cause),
+        // Each of them missed at least one crash, because none of them causes
+        // crashes.
+        beside: fc.array(fc.subarray(cause.slice(1)), {maxLength: 20}),
       }),
     );
     fc.assert(
-      fc.property(scenario, ({guilty, beside}) => {
+      fc.property(scenario, ({cause, beside}) => {
         const rows = [
-          row('guilty', guilty.map(String)),
-          ...beside.map((at, i) => row(`b${i}`, at.map(String))),
+          history('cause', cause.map(String)),
+          ...beside.map((at, i) => history(`b${i}`, at.map(String))),
         ];
-        expect(verdicts(rows)).toEqual({guilty: 'quarantined'});
+        expect(verdicts(rows)).toEqual({cause: 'quarantined'});
       }),
       {seed: 7, numRuns: 300},
     );
--- a/packages/banyanfold-decisions/src/__tests__/chooseRunner.plain.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/chooseRunner.plain.test.ts
@@ -3,11 +3,11 @@
 
 const RUNNERS = 6;
 const CALLS_PER_SECOND = 83;
-/** How long a call is open. */
+/** Time for which a call is in flight. */
 const CALL_MS = 21;
 const SECONDS = 20;
 
-/** A small generator, so that a play repeats. */
+/** Deterministic generator, so that runs are repeatable. */
 function randomOf(seed: number): () => number {
   let state = seed;
   return () => {
@@ -16,7 +16,10 @@
   };
 }
 
-/** Calls at the busiest runner, over the mean; entries know their own work only. */
+/**
+ * Returns the calls at the busiest runner, relative to the mean. Entries know
+ * only their own work.
+ */
 function busiestToMean(entries: number): number {
   const random = randomOf(3);
   const open = Array.from({length: entries}, () =>
@@ -39,8 +42,8 @@
       hasAdapter: true,
       isSuspect: false,
     }));
-    const flow = {work: 0, random};
-    const chosen = chooseRunner(choices, undefined, 'hall-a', flow);
+    const arrivals = {work: 0, random};
+    const chosen = chooseRunner(choices, undefined, 'hall-a', arrivals);
     const runner = Number(chosen!.runnerId.slice(1));
     open[entry]![runner]! += 1;
     sent[runner]! += 1;
@@ -49,13 +52,13 @@
   return Math.max(...sent) / (calls / RUNNERS);
 }
 
-describe('chooseRunner, for plain calls', () => {
-  // Guards against entries that all send to the first of equal runners.
-  it.each([1, 5, 26, 730])('spreads those of %i entries', entries => {
+describe('chooseRunner for plain calls', () => {
+  // Guards against entries that all choose the first of equal runners.
+  it.each([1, 5, 26, 730])('spreads the calls of %i entries', entries => {
     expect(busiestToMean(entries)).toBeLessThan(1.25);
   });
 
-  it('keeps to the failure domain of the entry among equal runners', () => {
+  it('prefers the failure domain of the entry among equal runners', () => {
     const choices = ['hall-a', 'hall-b', 'hall-b'].map((failureDomain, i) => ({
       runnerId: `r${i}`,
       failureDomain,
@@ -63,9 +66,9 @@
       hasAdapter: true,
       isSuspect: false,
     }));
-    for (const at of [0, 0.4, 0.99]) {
-      const flow = {work: 0, random: () => at};
-      const chosen = chooseRunner(choices, undefined, 'hall-a', flow);
+    for (const drawn of [0, 0.4, 0.99]) {
+      const arrivals = {work: 0, random: () => drawn};
+      const chosen = chooseRunner(choices, undefined, 'hall-a', arrivals);
       expect(chosen?.runnerId).toBe('r0');
     }
   });
--- a/packages/banyanfold-decisions/src/__tests__/chooseStandbys.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/chooseStandbys.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe('chooseStandbys', () => {
-  it('takes those with the most processor', () => {
+  it('chooses the entries with the largest processor share', () => {
     const all = [...entries(20, SMALL, 's'), ...entries(8, LARGE, 'l')];
     const standbys = [...chooseStandbys(all, 'l0:7')];
     expect(standbys).toHaveLength(6);
@@ -20,14 +20,14 @@
     expect(standbys).toContain('l0:7');
   });
 
-  it('lets a holder go that is much smaller than another entry', () => {
+  it('replaces a holder that is much smaller than another entry', () => {
     const all = [...entries(20, SMALL, 's'), ...entries(2, LARGE, 'l')];
     const standbys = chooseStandbys(all, 's0:7');
     expect(standbys.has('s0:7')).toBe(false);
     expect(standbys.has('l0:7')).toBe(true);
   });
 
-  it('keeps a holder among equals, and all of a few entries', () => {
+  it('keeps a holder among equals, and chooses all of a few entries', () => {
     const many = entries(28, LARGE, 'e');
     for (const {address} of many) {
       expect(chooseStandbys(many, address).has(address)).toBe(true);
@@ -35,7 +35,7 @@
     expect(chooseStandbys(entries(5, LARGE, 'e'), 'e1:7').size).toBe(5);
   });
 
-  it('chooses alike whatever the order in which it hears of them', () => {
+  it('does not depend on the order of the entries', () => {
     const all = entries(12, LARGE, 'e');
     const again = [...all].reverse();
     expect(chooseStandbys(again, 'e3:7')).toEqual(chooseStandbys(all, 'e3:7'));
--- a/packages/banyanfold-decisions/src/__tests__/decideEjections.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decideEjections.test.ts
@@ -5,21 +5,21 @@
 
 function outcomes(
   vmId: string,
-  changed: Partial<RunnerOutcomes> = {},
+  overrides: Partial<RunnerOutcomes> = {},
 ): RunnerOutcomes {
-  return {vmId, successes: 20, failures: 0, firstTokenMs: 100, ...changed};
+  return {vmId, successes: 20, failures: 0, firstTokenMs: 100, ...overrides};
 }
 
 describe('decideEjections', () => {
   const peers = ['a', 'b', 'c'].map(vmId => outcomes(vmId));
   const table: Array<[string, RunnerOutcomes[]]> = [
-    ['a failing one', [outcomes('x', {successes: 5, failures: 15})]],
-    ['a slow one', [outcomes('x', {firstTokenMs: 900})]],
+    ['a failing runner', [outcomes('x', {successes: 5, failures: 15})]],
+    ['a slow runner', [outcomes('x', {firstTokenMs: 900})]],
     [
       'none with too few outcomes',
       [outcomes('x', {successes: 0, failures: 2})],
     ],
-    ['none that is slower by little', [outcomes('x', {firstTokenMs: 250})]],
+    ['none that is slightly slower', [outcomes('x', {firstTokenMs: 250})]],
     [
       'none for being slower than another group',
       [outcomes('x', {firstTokenMs: 900, peerGroup: 'drafting'})],
@@ -36,13 +36,13 @@
     expect(decideEjections([...peers, ...others], 0)).toMatchSnapshot();
   });
 
-  it('ejects none when all are slow alike', () => {
+  it('ejects none if all are equally slow', () => {
     const all = ['a', 'b', 'c'].map(id => outcomes(id, {firstTokenMs: 5_000}));
     expect(decideEjections(all, 0).ejected).toEqual([]);
   });
 
-  it('never has half or more ejected, counting those that are', () => {
-    const any = fc.array(
+  it('never ejects half or more, including current ejections', () => {
+    const anyOutcomes = fc.array(
       fc.record({
         successes: fc.nat(50),
         failures: fc.nat(50),
@@ -52,15 +52,15 @@
       {maxLength: 20},
     );
     fc.assert(
-      fc.property(any, drawn => {
-        const all = drawn.map((fields, index) => ({
+      fc.property(anyOutcomes, drawnOutcomes => {
+        const all = drawnOutcomes.map((fields, index) => ({
           vmId: `r${index}`,
           ...fields,
         }));
-        const before = all.filter(o => o.ejectedUntilMs > 0).length;
+        const ejectedBefore = all.filter(o => o.ejectedUntilMs > 0).length;
         const {ejected} = decideEjections(all, 1);
         if (ejected.length === 0) return;
-        expect(2 * (before + ejected.length)).toBeLessThan(all.length);
+        expect(2 * (ejectedBefore + ejected.length)).toBeLessThan(all.length);
       }),
     );
   });
--- a/packages/banyanfold-decisions/src/__tests__/decidePlacement.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decidePlacement.test.ts
@@ -7,8 +7,8 @@
 
 const NOW_MS = 10_000;
 
-function movesOf(view: PlacementView, changed = {}): string[] {
-  const options = {...DEFAULT_PLACEMENT_OPTIONS, ...changed};
+function movesOf(view: PlacementView, overrides = {}): string[] {
+  const options = {...DEFAULT_PLACEMENT_OPTIONS, ...overrides};
   return decidePlacement(view, NOW_MS, options).moves.map(
     ({kind, vmId, artifact, runnerRole}) =>
       `${kind} ${vmId} ${artifact}${runnerRole}`,
@@ -20,7 +20,7 @@
 const Z = placementArtifact('z@1');
 
 describe('decidePlacement', () => {
-  it('moves nothing when all is held and nothing is hot', () => {
+  it('moves nothing if all artifacts are held and none is hot', () => {
     const runners = [placementRunner('a', ['x@1']), placementRunner('b', [])];
     expect(movesOf(placementView(runners, [X]))).toEqual([]);
   });
@@ -39,9 +39,9 @@
   });
 
   it('does not count copies on runners that are lost or leaving', () => {
-    for (const gone of [{reachable: false}, {leaving: true}]) {
+    for (const unusable of [{reachable: false}, {leaving: true}]) {
       const runners = [
-        placementRunner('a', ['x@1'], gone),
+        placementRunner('a', ['x@1'], unusable),
         placementRunner('b', []),
       ];
       expect(movesOf(placementView(runners, [X]))).toEqual(['load b x@1']);
@@ -68,7 +68,7 @@
     expect(movesOf(view, {moveWeight: 1_000})).toEqual([]);
   });
 
-  it('makes room by a surplus copy, relying on the one elsewhere', () => {
+  it('retires a surplus copy, relying on the one elsewhere', () => {
     const view = placementView(
       [
         placementRunner('a', ['x@1', 'y@1']),
@@ -88,7 +88,7 @@
     expect(movesOf(view)).toMatchSnapshot();
   });
 
-  it('gives up a version that is no longer published', () => {
+  it('retires a version that is no longer published', () => {
     const view = placementView(
       [placementRunner('a', ['x@0', 'y@1'])],
       [Y, {...X, bytes: 30}],
@@ -96,7 +96,7 @@
     expect(movesOf(view)).toEqual(['retire a x@0']);
   });
 
-  it('relocates a sole copy when only that makes room', () => {
+  it('relocates a sole copy if only that makes room', () => {
     const view = placementView(
       [placementRunner('a', ['x@1', 'y@1']), placementRunner('b', ['w@1'])],
       [X, Y, placementArtifact('w@1'), {...Z, bytes: 48}],
@@ -104,9 +104,9 @@
     expect(movesOf(view)).toEqual(['load a w@1']);
   });
 
-  it('lets orphans that fit nowhere hold up no others', () => {
-    // Callers of z get no answer while memory for it is free: four orphans
-    // too large for any runner come first, and each decision ends with them.
+  it('places other orphans if some fit nowhere', () => {
+    // Guards against orphans that starve others: four orphans are too large for
+    // any runner and come first, while memory for z is free.
     const large = ['p@1', 'q@1', 's@1', 't@1'].map(name =>
       placementArtifact(name, {bytes: 99, waiting: 1}),
     );
@@ -114,9 +114,9 @@
     expect(movesOf(view)).toEqual(['load a z@1']);
   });
 
-  it('keeps the memory that adapters need beside their model', () => {
-    // Callers of the adapter would get no answer for good: z would take the
-    // last memory of the only runner that holds the adapter's model.
+  it('reserves the memory that adapters need beside their model', () => {
+    // Guards against an adapter that can never be loaded: z would take the last
+    // memory of the only runner that holds the adapter's model.
     const view = placementView(
       [placementRunner('a', ['x@1'], {memoryFreeBytes: 20})],
       [X, Z, placementArtifact('x@1+l@1', {priority: 5})],
@@ -124,7 +124,7 @@
     expect(movesOf(view)).toEqual(['load a x@1+l@1']);
   });
 
-  it('says why an artifact has no place', () => {
+  it('reports why an artifact cannot be placed', () => {
     const view = placementView(
       [placementRunner('a', ['x@1'])],
       [X, {...Y, bytes: 99}],
@@ -134,7 +134,7 @@
     ]);
   });
 
-  it('gives a drowning role a runner of an idle one', () => {
+  it('moves a runner from an idle role to an overloaded one', () => {
     const view = placementView(
       [
         placementRunner('a', ['x@1'], {runnerRole: 'drafting', queued: 20}),
@@ -161,8 +161,8 @@
     }),
     {minLength: 1, maxLength: 6},
   )
-  .map(drawn =>
-    drawn.map(({held, reachable}, index) =>
+  .map(drawnRunners =>
+    drawnRunners.map(({held, reachable}, index) =>
       placementRunner(`r${index}`, held, {
         reachable,
         memoryFreeBytes: Math.max(0, 64 - held.length * 13),
@@ -179,7 +179,7 @@
   );
 
 describe('decidePlacement properties', () => {
-  it('leaves a held copy of all that had one', () => {
+  it('keeps a held copy of each artifact that had one', () => {
     fc.assert(
       fc.property(anyRunners, anyArtifacts, (runners, artifacts) => {
         const view = placementView(runners, artifacts);
@@ -190,9 +190,9 @@
             .map(({artifact, vmId}) => `${artifact}/${vmId}`),
         );
         for (const name of NAMES) {
-          const ids = heldCopyIds(view, name);
-          const left = ids.filter(id => !retired.has(id));
-          if (ids.length > 0) expect(left).not.toEqual([]);
+          const copyIds = heldCopyIds(view, name);
+          const remaining = copyIds.filter(id => !retired.has(id));
+          if (copyIds.length > 0) expect(remaining).not.toEqual([]);
         }
         for (const move of moves) {
           if (move.kind !== 'retire') continue;
--- a/packages/banyanfold-decisions/src/__tests__/decidePromptWindow.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decidePromptWindow.test.ts
@@ -9,8 +9,8 @@
 
 describe('decidePromptWindow', () => {
   it.each([
-    ['shrinks after a pause too long', 4, 151, 3.6],
-    ['grows after one in time', 4, 150, 4.03],
+    ['shrinks after too long a pause', 4, 151, 3.6],
+    ['grows after a pause in time', 4, 150, 4.03],
     ['always lets one prompt through', 1, 900, 1],
     ['stays bounded', 64, 10, 64],
   ])('%s', (_what, window, longestPauseMs, expected) => {
@@ -34,25 +34,28 @@
     );
   });
 
-  it('keeps the streams of a runner in time under prompts that come in bursts', () => {
-    // Load: 12 prompts of 540 tokens at once, twice a second, at a runner that
-    // reads 38 tokens a ms while its streams stand still, and whose streams may
-    // pause for 150 ms. Sent together, each burst holds all streams up for 170 ms.
-    // With the window they go on between the prompts, and all are read in time.
-    expect(burstsInTime(Number.POSITIVE_INFINITY)).toBe(0);
-    expect(burstsInTime(undefined)).toBeGreaterThan(35);
+  it('keeps streams in time while prompts arrive in bursts', () => {
+    // 12 prompts of 540 tokens arrive at once, twice per second, at a runner
+    // that reads 38 tokens per ms while its streams pause; their pause target
+    // is 150 ms. Sent together, each burst delays all streams by 170 ms. With
+    // the window they continue between the prompts, and all are read in time.
+    expect(countBurstsInTime(Number.POSITIVE_INFINITY)).toBe(0);
+    expect(countBurstsInTime(undefined)).toBeGreaterThan(35);
   });
 });
 
-/** Of 40 bursts those whose pause was in time; a fixed window, or the decided one. */
-function burstsInTime(fixed: number | undefined): number {
+/**
+ * Counts the bursts of 40 whose pause was in time, with a fixed window or the
+ * decided one.
+ */
+function countBurstsInTime(fixedWindow: number | undefined): number {
   const PROMPTS = 12;
   const READ_MS = 540 / 38;
   let window = 4;
   let inTime = 0;
   for (let burst = 0; burst < 40; burst++) {
-    const together = Math.min(PROMPTS, Math.floor(fixed ?? window));
-    const longestPauseMs = together * READ_MS;
+    const sentTogether = Math.min(PROMPTS, Math.floor(fixedWindow ?? window));
+    const longestPauseMs = sentTogether * READ_MS;
     if (longestPauseMs <= TARGET_MS) inTime += 1;
     for (let stream = 0; stream < PROMPTS; stream++) {
       const pace = {longestPauseMs, pauseTargetMs: TARGET_MS};
--- a/packages/banyanfold-decisions/src/__tests__/decideRetry.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decideRetry.test.ts
@@ -16,7 +16,7 @@
     ['never started', {}],
     ['repeatable', {allNeverStarted: false, repeatable: true}],
     ['may have started', {allNeverStarted: false}],
-    ['caller has a byte already', {firstByteSent: true, repeatable: true}],
+    ['caller has received a byte', {firstByteSent: true, repeatable: true}],
     ['attempts spent', {attemptsMade: 3}],
     ['budget spent', {budgetTokens: 0.9}],
     ['no time left', {remainingBudgetMs: 10}],
@@ -26,8 +26,8 @@
     ],
   ];
 
-  it.each(table)('%s', (_name, changed) => {
-    const view = {...VIEW, ...changed};
+  it.each(table)('%s', (_name, overrides) => {
+    const view = {...VIEW, ...overrides};
     expect(decideRetry(view, 0, undefined, () => 0.5)).toMatchSnapshot();
   });
 });
--- a/packages/banyanfold-decisions/src/__tests__/decideRoute.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decideRoute.test.ts
@@ -16,7 +16,7 @@
   const table: Array<[string, RunnerView[], string]> = [
     ['the first of equals', [b, a], 'a'],
     ['the one with fewer running', [{...a, running: 3}, b], 'b'],
-    ['the one whose report is drained by now', [{...a, queued: 1}, b], 'b'],
+    ['the one without a queue', [{...a, queued: 1}, b], 'b'],
     ['not an unreachable one', [{...a, reachable: false}, b], 'b'],
     ['not a leaving one', [{...a, leaving: true}, b], 'b'],
     ['not an ejected one', [{...a, ejectedUntilMs: 5}, b], 'b'],
@@ -34,27 +34,27 @@
       'b',
     ],
     [
-      'the idle one, where the one with the prefix is far behind',
+      'the idle one if the one with the prefix has a long queue',
       [a, {...b, queueDelayMs: 200, cachedPrefixes: new Set(['p'])}],
       'a',
     ],
     [
-      'the one that own unreported requests spare',
+      'the one without own unreported requests',
       [{...a, ownUnreported: 4}, b],
       'b',
     ],
   ];
 
-  it.each(table)('takes %s', (_name, runners, vmId) => {
+  it.each(table)('chooses %s', (_name, runners, vmId) => {
     expect(route(runners)).toMatchObject({kind: 'route', vmId});
   });
 
-  it('gives a reason for every runner', () => {
+  it('returns a reason for each runner', () => {
     const gone = runnerView({vmId: 'c', reachable: false});
     expect(route([a, {...b, running: 2}, gone])).toMatchSnapshot();
   });
 
-  it('refuses at once, and says when the queue will have drained', () => {
+  it('refuses with the time after which the queue has drained', () => {
     const busy = {...a, running: 16, queueDelayMs: 1_000};
     const decision = route([busy]);
     expect(decision).toMatchObject({
@@ -64,7 +64,7 @@
     });
   });
 
-  it('takes one in time, where the best by score would be late', () => {
+  it('chooses a runner in time if the best by score would be late', () => {
     const late = {...a, queueDelayMs: 400, cachedPrefixes: new Set(['p'])};
     const inTime = {...b, queueDelayMs: 300, running: 16};
     const request = routingRequest({promptTokens: 20_000});
@@ -79,7 +79,7 @@
     expect(route(runners)).toMatchObject({kind: 'refuse', code});
   });
 
-  it('chooses at random only among near ties, by the given generator', () => {
+  it('chooses at random only among near ties, with the given generator', () => {
     const view = {
       runners: [a, b, runnerView({vmId: 'c', running: 5})],
       failureDomain: 'd0',
--- a/packages/banyanfold-decisions/src/__tests__/decideSend.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decideSend.test.ts
@@ -11,7 +11,7 @@
 describe('decideSend', () => {
   it.each<[string, Partial<SendView>, string]>([
     ['a quiet runner', {}, 'send'],
-    ['one that has answered nothing yet', {workPerSecond: 0}, 'send'],
+    ['a runner that has answered nothing yet', {workPerSecond: 0}, 'send'],
     ['a queue that drains in time', {workAhead: 30}, 'send'],
     ['a queue beyond the target', {workAhead: 150}, 'send'],
     ['a queue that leaves no time for the stream', {workAhead: 180}, 'refuse'],
@@ -26,30 +26,35 @@
   });
 
   it.each([
-    ['all places taken once over, where callers wait long', 6_000, 'send'],
-    ['all places taken once over, where they leave early', 2_000, 'refuse'],
+    ['as many waiting as running, with patient callers', 6_000, 'send'],
+    [
+      'as many waiting as running, with callers that leave early',
+      2_000,
+      'refuse',
+    ],
   ])('%s', (_what, leftMs, kind) => {
-    // 64 run at once for some 2 s each; the 65th to 128th wait as long.
+    // 64 requests run at once for about 2 s each; the 65th to 128th wait as
+    // long.
     const view = {...QUIET, openRequests: 128, slots: 64, leftMs};
     expect(decideSend(view).kind).toBe(kind);
   });
 
-  it('says to come back within the time that callers heed', () => {
+  it('returns a retry time that callers honour', () => {
     const decision = decideSend({...QUIET, workAhead: 400});
     expect(decision).toMatchObject({kind: 'refuse', retryAfterMs: 1_800});
   });
 
-  it('serves more in time under three times the load than without it', () => {
-    // Load: 12 drafts of 9,000 tokens a second for 10 s at a runner that reads
-    // 40,000 a second; callers wait 5 s. Without refusals the queue passes 5 s,
-    // each prompt is read in vain and nobody is served any more; with them those
-    // sent are answered.
-    expect(servedOf(true)).toBeGreaterThan(servedOf(false) * 1.5);
+  it('serves more in time with refusals at three times the load', () => {
+    // 12 drafts of 9,000 tokens per second arrive for 10 s at a runner that
+    // reads 40,000 tokens per second; callers wait 5 s. Without refusals the
+    // queue exceeds 5 s, each prompt is read in vain and no caller is served.
+    // With refusals the requests that are sent get an answer.
+    expect(countServed(true)).toBeGreaterThan(countServed(false) * 1.5);
   });
 });
 
-/** Requests answered within their time at a runner with a queue in order. */
-function servedOf(refuses: boolean): number {
+/** Counts the requests answered in time at a runner with a FIFO queue. */
+function countServed(refuses: boolean): number {
   const PER_SECOND = 40;
   const WORK = 9;
   const LEFT_MS = 5_000;
@@ -66,7 +71,7 @@
     });
     if (refuses && decision.kind === 'refuse') continue;
     const readMs = (WORK / PER_SECOND) * 1_000;
-    // A caller that left is not read for once its turn has come.
+    // A prompt is not read if its caller has left before its turn.
     freeAtMs = nowMs + waitMs + (waitMs < LEFT_MS ? readMs : 0);
     if (waitMs + readMs <= LEFT_MS) served += 1;
   }
--- a/packages/banyanfold-decisions/src/__tests__/decideTrial.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decideTrial.test.ts
@@ -11,7 +11,7 @@
 };
 
 describe('decideTrial', () => {
-  it('takes the best runner at which no other suspect runs', () => {
+  it('chooses the best runner without another suspect', () => {
     expect(decideTrial(VIEW)).toEqual({kind: 'run', runnerId: 'r1'});
     const activeTrials = new Map([['b', 'r1']]);
     expect(decideTrial({...VIEW, activeTrials})).toEqual({
@@ -20,7 +20,7 @@
     });
   });
 
-  it('waits while each runner has one', () => {
+  it('waits while each runner has a trial', () => {
     const activeTrials = new Map([
       ['b', 'r1'],
       ['c', 'r2'],
@@ -31,8 +31,9 @@
     });
   });
 
-  it('never runs one twice at once', () => {
-    // Sent by two entries in the same moment it would crash two runners.
+  it('never runs a suspect twice at a time', () => {
+    // Guards against a request that two entries send at the same time, which
+    // would crash two runners.
     const activeTrials = new Map([['a', 'r9']]);
     expect(decideTrial({...VIEW, activeTrials})).toEqual({
       kind: 'wait',
@@ -40,16 +41,16 @@
     });
   });
 
-  it('waits for the verdict on the crash before', () => {
-    // A second entry would crash one more runner with it in the moment in which
-    // the third crash isn't judged yet.
+  it('waits for the verdict on the previous crash', () => {
+    // Guards against one more crash: a second entry could run the request
+    // before the third crash leads to a verdict.
     expect(decideTrial({...VIEW, isVerdictPending: true})).toEqual({
       kind: 'wait',
       reason: 'being-judged',
     });
   });
 
-  it('lets those go first under which more runners crashed', () => {
+  it('runs suspects with more crashes first', () => {
     expect(decideTrial({...VIEW, otherCrashCounts: [2, 3]})).toEqual({
       kind: 'wait',
       reason: 'others-first',
--- a/packages/banyanfold-decisions/src/__tests__/organisationUsage.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/organisationUsage.test.ts
@@ -10,13 +10,16 @@
   type FleetOptions,
 } from './simulateUsage.js';
 
-const FOR_MS = 20_000;
+const DURATION_MS = 20_000;
 const WINDOW_MS = 8_000;
-/** By what a count over many entries may pass the cap, in a window. */
+/**
+ * Amount by which the use counted over many entries may exceed the cap in a
+ * window.
+ */
 const TOLERANCE = {share: 0.1, tokens: 110_000};
 const MEAN_TOKENS = 7_500;
 
-/** Mulberry32, so that a seed plays the same load each time. */
+/** Mulberry32, so that a seed always gives the same load. */
 function randomOf(seed: number): () => number {
   let state = seed;
   return () => {
@@ -27,20 +30,20 @@
   };
 }
 
-function play(
+function simulate(
   ratePerSecond: number,
-  askedOfCap: number,
+  demandRatio: number,
   seed: number,
-  more: Partial<FleetOptions> = {},
+  overrides: Partial<FleetOptions> = {},
 ) {
   return simulateFleet({
     entries: 26,
     limit: usageLimitOf({ratePerSecond, burst: ratePerSecond}, WINDOW_MS),
     meanTokens: MEAN_TOKENS,
-    askedPerSecond: ratePerSecond * askedOfCap,
-    forMs: FOR_MS,
+    askedPerSecond: ratePerSecond * demandRatio,
+    durationMs: DURATION_MS,
     random: randomOf(seed),
-    ...more,
+    ...overrides,
   });
 }
 
@@ -52,31 +55,31 @@
   );
 }
 
-const load = fc.record({
+const anyLoad = fc.record({
   seed: fc.integer({min: 1, max: 1_000_000}),
   ratePerSecond: fc.integer({min: 29_000, max: 250_000}),
-  askedOfCap: fc.double({min: 0.2, max: 4, noNaN: true}),
+  demandRatio: fc.double({min: 0.2, max: 4, noNaN: true}),
   entries: fc.constantFrom(3, 26, 730),
   skew: fc.constantFrom(0, 0.5, 1),
 });
 
-describe('the use of a cap over all entries', () => {
-  it('stays within it, whatever is asked and wherever', () => {
+describe('use of a cap over all entries', () => {
+  it('stays within the cap for any demand at any entry', () => {
     fc.assert(
-      fc.property(load, ({seed, ratePerSecond, askedOfCap, ...rest}) => {
-        const {overshoot} = play(ratePerSecond, askedOfCap, seed, rest);
+      fc.property(anyLoad, ({seed, ratePerSecond, demandRatio, ...rest}) => {
+        const {overshoot} = simulate(ratePerSecond, demandRatio, seed, rest);
         expect(overshoot).toBeLessThanOrEqual(allowedOvershoot(ratePerSecond));
       }),
       {numRuns: 60, seed: 7},
     );
   }, 120_000);
 
-  // Guards against a burst that uses the cap up before all entries hear of it.
-  it('stays within it when a burst begins, at entries behind relays', () => {
+  // Guards against a burst that uses up the cap before all entries learn of it.
+  it('stays within the cap when a burst begins, at entries behind relays', () => {
     const factor = fc.integer({min: 2, max: 7});
     fc.assert(
-      fc.property(load, factor, ({seed, ratePerSecond, ...rest}, times) => {
-        const {overshoot} = play(ratePerSecond, 0.55, seed, {
+      fc.property(anyLoad, factor, ({seed, ratePerSecond, ...rest}, times) => {
+        const {overshoot} = simulate(ratePerSecond, 0.55, seed, {
           entries: rest.entries,
           skew: rest.skew,
           burst: {fromMs: 10_000, factor: times},
@@ -88,14 +91,17 @@
     );
   }, 120_000);
 
-  // Guards against entries that admit without bounds while no holder answers.
-  it('stays within it while nothing is told', () => {
+  // Guards against entries that admit without limit while no holder answers.
+  it('stays within the cap while entries receive no snapshots', () => {
     fc.assert(
-      fc.property(load, fc.nat({max: 8_000}), ({seed, ...at}, forMs) => {
-        const {ratePerSecond, askedOfCap, ...rest} = at;
-        const isCut = (_entry: number, nowMs: number) =>
-          nowMs > 5_000 && nowMs < 5_000 + forMs;
-        const outcome = play(ratePerSecond, askedOfCap, seed, {...rest, isCut});
+      fc.property(anyLoad, fc.nat({max: 8_000}), ({seed, ...at}, cutMs) => {
+        const {ratePerSecond, demandRatio, ...rest} = at;
+        const isDisconnected = (_entry: number, nowMs: number) =>
+          nowMs > 5_000 && nowMs < 5_000 + cutMs;
+        const outcome = simulate(ratePerSecond, demandRatio, seed, {
+          ...rest,
+          isDisconnected,
+        });
         expect(outcome.overshoot).toBeLessThanOrEqual(
           allowedOvershoot(ratePerSecond),
         );
@@ -104,40 +110,40 @@
     );
   }, 120_000);
 
-  // Guards against a cap that begins anew with each process that does.
-  it('loses no more than was not told when entries start anew, one each second', () => {
+  // Guards against a cap that starts anew with each process.
+  it('exceeds the cap by no more than the unreported use if an entry restarts each second', () => {
     fc.assert(
-      fc.property(load, ({seed, ratePerSecond, askedOfCap, ...rest}) => {
+      fc.property(anyLoad, ({seed, ratePerSecond, demandRatio, ...rest}) => {
         const restarts = (entry: number, nowMs: number) =>
           nowMs % 1_000 === 0 && entry === (nowMs / 1_000) % rest.entries;
-        const outcome = play(ratePerSecond, askedOfCap, seed, {
+        const outcome = simulate(ratePerSecond, demandRatio, seed, {
           ...rest,
           restarts,
         });
-        // Each entry starts anew so often within a window.
+        // Number of restarts of each entry within a window.
         const times = Math.ceil((WINDOW_MS / 1_000 + 1) / rest.entries);
-        const askedPerSecond = ratePerSecond * askedOfCap;
+        const askedPerSecond = ratePerSecond * demandRatio;
         const cap = {ratePerSecond, burst: ratePerSecond};
-        const lost =
+        const unreported =
           (times * askedPerSecond * EXCHANGE_MS) /
           1_000 /
           usageLimitOf(cap, WINDOW_MS).perWindow;
         expect(outcome.overshoot).toBeLessThanOrEqual(
-          allowedOvershoot(ratePerSecond) + lost,
+          allowedOvershoot(ratePerSecond) + unreported,
         );
       }),
       {numRuns: 60, seed: 9},
     );
   }, 120_000);
 
-  it('is hardly refused below it', () => {
-    // The mean of a few loads; each has bunches of requests that fill the burst.
+  it('is rarely refused below the cap', () => {
+    // The mean of several loads; in each, groups of requests fill the burst.
     const seeds = [1, 2, 3, 4, 5, 6];
-    const refused = [29_000, 100_000, 244_000].flatMap(rate =>
-      seeds.map(seed => play(rate, 0.55, seed).falselyRefused),
+    const refusedShares = [29_000, 100_000, 244_000].flatMap(rate =>
+      seeds.map(seed => simulate(rate, 0.55, seed).falselyRefused),
     );
-    const mean = refused.reduce((sum, share) => sum + share, 0);
-    expect(mean / refused.length).toBeLessThan(0.01);
+    const mean = refusedShares.reduce((sum, share) => sum + share, 0);
+    expect(mean / refusedShares.length).toBeLessThan(0.01);
   });
 });
 
@@ -145,11 +151,11 @@
   const limit = {ratePerSecond: 10_000, perWindow: 100_000};
   const view = {limit, nowMs: 0, random: () => 0.5};
 
-  it('admits a request larger than the limit, and then waits it off', () => {
+  it('admits a request larger than the limit, and then refuses others', () => {
     const usage = new OrganisationUsage(true);
     usage.update({left: 100_000, freedPerSecond: 0, askedPerSecond: 0}, 0, 0);
     expect(usage.decide(150_000, view).kind).toBe('admit');
-    // 40,000 tokens more than now are left so much later.
+    // The missing 90,000 tokens become available at 10,000 per second.
     expect(usage.decide(40_000, view)).toEqual({
       kind: 'refuse',
       left: -50_000,
@@ -157,18 +163,19 @@
     });
   });
 
-  // Guards against a caller that is refused below the cap for its own demand.
-  it('admits all that is left where nobody else asks', () => {
-    const atLimit = {ratePerSecond: 1e-6, perWindow: 2};
+  // Guards against a caller that is refused below the cap because of its own
+  // demand.
+  it('admits all that is left if no other entry has demand', () => {
+    const tinyLimit = {ratePerSecond: 1e-6, perWindow: 2};
     const fleet = new FleetUsage({
       windowMs: WINDOW_MS,
       startMs: 0,
-      limitOf: () => atLimit,
+      limitOf: () => tinyLimit,
       initialUse: () => 0,
     });
     const usage = new OrganisationUsage(true);
     const decide = (nowMs: number) =>
-      usage.decide(1, {limit: atLimit, nowMs, random: () => 0.99}).kind;
+      usage.decide(1, {limit: tinyLimit, nowMs, random: () => 0.99}).kind;
     expect(decide(0)).toBe('admit');
     usage.markReported(200);
     fleet.addReports([{organisation: 'claims', asked: 1, used: 1}], 203);
@@ -177,7 +184,7 @@
     expect(decide(220)).toBe('refuse');
   });
 
-  it('takes back what was not run', () => {
+  it('refunds an amount that was not run', () => {
     const usage = new OrganisationUsage(true);
     usage.update({left: 100_000, freedPerSecond: 0, askedPerSecond: 0}, 0, 0);
     usage.decide(95_000, view);
@@ -186,24 +193,24 @@
     expect(usage.decide(9_000, view).kind).toBe('admit');
   });
 
-  it('goes on by the share that its callers had, once nothing is told', () => {
+  it('admits the share that its callers had of the demand without snapshots', () => {
     const usage = new OrganisationUsage(true);
     usage.update(
       {left: -500_000, freedPerSecond: 10_000, askedPerSecond: 40_000},
       0,
       0,
     );
-    // A quarter of what callers ask for all over is within the rate.
-    const late = {limit, nowMs: 10_000};
+    // A quarter of the total demand is within the rate.
+    const laterView = {limit, nowMs: 10_000};
     const decide = (random: number) =>
-      usage.decide(1, {...late, random: () => random}).kind;
+      usage.decide(1, {...laterView, random: () => random}).kind;
     expect(decide(0.2)).toBe('admit');
     expect(decide(0.3)).toBe('refuse');
   });
 });
 
 describe('SlidingWindow', () => {
-  it('forgets amounts, whole or spread, once its length has passed', () => {
+  it('drops single and evenly added amounts after its length', () => {
     const window = new SlidingWindow(8_000);
     window.addEvenly(3_200, 0);
     window.add(500, 1_000);
--- a/packages/banyanfold-decisions/src/__tests__/planCopies.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/planCopies.test.ts
@@ -36,12 +36,12 @@
   };
 }
 
-function brief(orders: CopyOrder[]): string[] {
+function summarize(orders: CopyOrder[]): string[] {
   return orders.map(o => `${o.kind} ${o.model} at ${o.runnerId}: ${o.reason}`);
 }
 
 describe('planCopies', () => {
-  it('loads a model that callers wait for where it is near', () => {
+  it('loads a model that callers wait for where its weights are local', () => {
     const orders = planCopies({
       runners: [
         runner({runnerId: 'r1', models: ['a']}),
@@ -50,11 +50,11 @@
       models: [model('a', {workPerSecond: 1}), model('b', {waiting: 2})],
       storeLoadsLeft: 0,
     });
-    expect(brief(orders)).toEqual(['load b at r2: orphan']);
+    expect(summarize(orders)).toEqual(['load b at r2: orphan']);
     expect(orders[0]?.isFromStore).toBe(false);
   });
 
-  it('makes room by what is idle, and uses it for what it was made for', () => {
+  it('evicts an idle copy, and uses the memory for the intended model', () => {
     const full = runner({runnerId: 'r1', models: ['a', 'idle']});
     const models = [
       model('a', {workPerSecond: 3, idleMs: 10}),
@@ -62,7 +62,7 @@
       model('b', {waiting: 1, idleMs: 0}),
     ];
     const first = planCopies({runners: [full], models, storeLoadsLeft: 1});
-    expect(brief(first)).toEqual(['unload idle at r1: room for b']);
+    expect(summarize(first)).toEqual(['unload idle at r1: room for b']);
     const after = runner({
       runnerId: 'r1',
       models: ['a'],
@@ -70,12 +70,12 @@
       intendedModel: 'b',
     });
     const then = planCopies({runners: [after], models, storeLoadsLeft: 1});
-    expect(brief(then)).toEqual(['load b at r1: room-made']);
+    expect(summarize(then)).toEqual(['load b at r1: room-made']);
   });
 
-  it('makes room by what no run keeps, not by a busy copy', () => {
-    // Callers wait for a model. One runner could unload a busy model, which
-    // takes until its streams are over; another one an idle model, at once.
+  it('evicts a copy without requests in flight, not a busy one', () => {
+    // One runner could unload a busy model after its streams have finished,
+    // another one an idle model immediately.
     const orders = planCopies({
       runners: [
         runner({runnerId: 'r1', models: ['busy', 'x']}),
@@ -89,10 +89,10 @@
       ],
       storeLoadsLeft: 1,
     });
-    expect(brief(orders)).toEqual(['unload idle at r2: room for b']);
+    expect(summarize(orders)).toEqual(['unload idle at r2: room for b']);
   });
 
-  it('uses room that comes up elsewhere while other room is being made', () => {
+  it('uses free memory elsewhere while memory is being freed', () => {
     const orders = planCopies({
       runners: [
         runner({
@@ -110,12 +110,12 @@
       ],
       storeLoadsLeft: 1,
     });
-    expect(brief(orders)).toEqual(['load b at r2: orphan']);
+    expect(summarize(orders)).toEqual(['load b at r2: orphan']);
   });
 
   it('relieves the hottest runner when demand moves to one model', () => {
-    // Load: all demand moved to a model with one copy. Callers queue there
-    // while three runners idle; a copy more halves what its runner carries.
+    // All demand moves to a model with one copy. Callers queue there while two
+    // other runners are idle; one more copy halves the load of its runner.
     const orders = planCopies({
       runners: [
         runner({runnerId: 'r1', models: ['hot']}),
@@ -128,13 +128,14 @@
       ],
       storeLoadsLeft: 1,
     });
-    expect(brief(orders)).toEqual(['load hot at r2: relieve']);
+    expect(summarize(orders)).toEqual(['load hot at r2: relieve']);
   });
 
-  it('relieves a runner that has more than it can read, and does so again', () => {
-    // Load: a model heats up twentyfold and asks for four times what a runner
-    // reads. By late answers alone one copy more seemed to save hardly anybody,
-    // since those of both runners would still be late; callers were refused.
+  it('relieves a runner beyond its capacity, several times', () => {
+    // Guards against a lack of relief at four times the capacity of a runner.
+    // With late answers alone, one more copy seems to save hardly any caller,
+    // since the answers of both runners would still be late, and callers are
+    // refused.
     const hot = model('hot', {workPerSecond: 320, requestsPerSecond: 35});
     const runners = [
       runner({runnerId: 'r1', models: ['hot']}),
@@ -145,9 +146,9 @@
     expect(orders.every(order => order.reason === 'relieve')).toBe(true);
   });
 
-  it('relieves a runner whose places are all taken', () => {
-    // Load: streams of 3 s fill the 32 places of a runner while it reads little.
-    // Whoever comes next waits for a place; other runners stand idle.
+  it('relieves a runner whose slots are all in use', () => {
+    // Streams of 3 s fill the 32 slots of a runner with little work to read.
+    // Further requests wait for a slot while other runners are idle.
     const long = model('long', {workPerSecond: 6, requestsPerSecond: 20});
     const full = runner({
       runnerId: 'r1',
@@ -156,15 +157,16 @@
       inUse: {long: 60},
     });
     const idle = runner({runnerId: 'r2', slots: 32});
-    const relief = (runners: CopyRunner[]) =>
-      brief(planCopies({runners, models: [long], storeLoadsLeft: 1}));
-    expect(relief([full, idle])).toEqual(['load long at r2: relieve']);
-    expect(relief([{...full, inUse: {long: 12}}, idle])).toEqual([]);
+    const reliefFor = (runners: CopyRunner[]) =>
+      summarize(planCopies({runners, models: [long], storeLoadsLeft: 1}));
+    expect(reliefFor([full, idle])).toEqual(['load long at r2: relieve']);
+    expect(reliefFor([{...full, inUse: {long: 12}}, idle])).toEqual([]);
   });
 
-  it('comes to an end where a configuration gives runners no places', () => {
-    // The holder's loop stood still for good: 0 requests under way at 0 places
-    // make no number, and a move worth no number was put back again and again.
+  it('terminates if the configuration gives runners no slots', () => {
+    // Guards against an endless loop of the lease holder: 0 requests in flight
+    // at 0 slots give NaN, and a move with a gain of NaN was reinserted
+    // forever.
     const models = [
       model('a', {workPerSecond: 50}),
       model('b', {workPerSecond: 50}),
@@ -178,10 +180,11 @@
     expect(orders.length).toBeGreaterThan(0);
   });
 
-  it('gives the last copy of one rare model of many up for relief', () => {
-    // Load: memory holds one copy each of 40 rare models; one of them is asked
-    // for by all. Each last copy was insured as if all demand could move to its
-    // model, and no room was made.
+  it('evicts the last copy of one of many rare models for relief', () => {
+    // Guards against last copies that are never evicted. Memory holds one copy
+    // each of 40 rare models, and all callers request one of them. No memory is
+    // freed if each last copy is valued as if all demand could move to its
+    // model.
     const rare = Array.from({length: 40}, (_, i) => model(`m${i}`));
     rare[0] = model('m0', {
       workPerSecond: 160,
@@ -196,10 +199,10 @@
     expect(orders.every(order => order.roomFor === 'm0')).toBe(true);
   });
 
-  it('relieves a runner far over its load before it serves a rare model', () => {
-    // Load: one runner has the only copy of the model that most callers ask
-    // for, and one caller waits for a rare model. The idle runner is used for
-    // the many; their model's copy goes before a sole one that is hardly used.
+  it('relieves an overloaded runner before it serves a rare model', () => {
+    // One runner has the only copy of the model that most callers request, and
+    // one caller waits for a rare model. The idle runner serves the many
+    // callers first, and the copy that makes room is one that is hardly used.
     const runners = [
       runner({runnerId: 'r1', models: ['hot', 'x']}),
       runner({runnerId: 'r2', models: ['seldom', 'y']}),
@@ -212,14 +215,14 @@
       model('rare', {waiting: 1, idleMs: 0}),
     ];
     const orders = planCopies({runners, models, storeLoadsLeft: 2});
-    expect(brief(orders)[0]).toBe('unload seldom at r2: room for hot');
+    expect(summarize(orders)[0]).toBe('unload seldom at r2: room for hot');
   });
 
-  it('adds a copy where adapters find no place at those that hold it', () => {
-    // Load: many adapters of one model are asked for at once; the places of the
-    // only runner that holds it are in use, and their callers wait. Its work is
-    // small, so that no runner counts as hot. One copy more is made for each
-    // four that wait, and none while enough are on their way.
+  it('adds a copy if adapters find no slot at its holders', () => {
+    // Many adapters of one model are requested at the same time. The slots of
+    // its only holder are in use and callers wait, but the work is small, so no
+    // runner counts as hot. One copy is added per four waiting requests, and
+    // none while enough are pending.
     const runners = [
       runner({runnerId: 'r1', models: ['rich']}),
       runner({runnerId: 'r2', models: ['cold']}),
@@ -230,20 +233,24 @@
       model('cold'),
     ];
     const orders = planCopies({runners, models, storeLoadsLeft: 3});
-    expect(brief(orders)).toEqual(['load rich at r2: crowded']);
-    const coming = runners.map(each =>
+    expect(summarize(orders)).toEqual(['load rich at r2: crowded']);
+    const withPending = runners.map(each =>
       each.runnerId === 'r2'
         ? {...each, isBusy: true, loadingModel: 'rich'}
         : each,
     );
-    const later = planCopies({runners: coming, models, storeLoadsLeft: 3});
-    expect(later).toEqual([]);
+    const ordersLater = planCopies({
+      runners: withPending,
+      models,
+      storeLoadsLeft: 3,
+    });
+    expect(ordersLater).toEqual([]);
   });
 
-  it('brings a model that nobody holds in place of one of many copies', () => {
-    // Load: demand is about to move to a model that nobody holds; its callers
-    // would wait for the whole load. Before anybody asks, the model with most
-    // copies gives one up, and never one of the last three.
+  it('loads a model without a copy in place of one of many copies', () => {
+    // Before demand moves to a model without a copy, whose callers would wait
+    // for the whole load, the model with the most copies gives one up, but
+    // never one of its last three.
     const many = ['r1', 'r2', 'r3', 'r4'].map(runnerId =>
       runner({runnerId, models: ['many', 'pair']}),
     );
@@ -253,19 +260,28 @@
       models,
       storeLoadsLeft: 2,
     });
-    expect(brief([order!])).toEqual(['unload many at r1: room for none']);
+    expect(summarize([order!])).toEqual(['unload many at r1: room for none']);
     expect(more).toEqual([]);
-    const quick = models.map(each => ({...each, storeLoadMs: 1_200}));
-    const left = planCopies({runners: many, models: quick, storeLoadsLeft: 2});
+    const quickLoads = models.map(each => ({...each, storeLoadMs: 1_200}));
+    const left = planCopies({
+      runners: many,
+      models: quickLoads,
+      storeLoadsLeft: 2,
+    });
     expect(left).toEqual([]);
     const three = many.slice(0, 3);
-    const kept = planCopies({runners: three, models, storeLoadsLeft: 2});
-    expect(kept).toEqual([]);
+    const ordersForThree = planCopies({
+      runners: three,
+      models,
+      storeLoadsLeft: 2,
+    });
+    expect(ordersForThree).toEqual([]);
   });
 
-  it('moves nothing for a model that was asked for once or twice', () => {
-    // Load: many models, each asked for now and then by long prompts. Relief by
-    // work alone moved copies for each of them, and the hot ones waited.
+  it('moves nothing for a model that was requested once or twice', () => {
+    // Guards against moves for many rare models with occasional long prompts.
+    // Relief by work alone moved copies for each of them, and hot models had to
+    // wait.
     const models = [
       model('rare', {workPerSecond: 24, requestsPerSecond: 1.3, idleMs: 0}),
       model('cold'),
@@ -277,10 +293,11 @@
     expect(planCopies({runners, models, storeLoadsLeft: 3})).toEqual([]);
   });
 
-  it('takes no serving copy away for those that are still to come', () => {
-    // Callers of the model in most demand are refused for seconds: three copies
-    // are being made, so that the two that serve pass for two of five, and both
-    // make way for models that nobody holds.
+  it('evicts no serving copy on account of pending ones', () => {
+    // Guards against evictions that count on pending copies. With three pending
+    // copies, the two serving ones seem to be two of five, and both are evicted
+    // for models without a copy; callers of the model in most demand are then
+    // refused for seconds.
     const runners = [
       runner({runnerId: 'r1', models: ['hot', 'x']}),
       runner({runnerId: 'r2', models: ['hot', 'y']}),
@@ -304,14 +321,14 @@
     const orders = planCopies({runners, models, storeLoadsLeft: 4});
     expect(orders.filter(({model: name}) => name === 'hot')).toEqual([]);
     const quiet = models.map(each => ({...each, waiting: 0}));
-    const later = planCopies({runners, models: quiet, storeLoadsLeft: 4});
-    expect(later.filter(({model: name}) => name === 'hot')).toEqual([]);
+    const ordersLater = planCopies({runners, models: quiet, storeLoadsLeft: 4});
+    expect(ordersLater.filter(({model: name}) => name === 'hot')).toEqual([]);
   });
 
-  it('puts a copy more into another failure domain', () => {
-    // A domain that is lost would take both copies, and prompts of callers in
-    // the other domains would cross to it. Loads being alike, the next copy
-    // goes where there is none.
+  it('adds a copy in another failure domain', () => {
+    // The loss of a domain would remove both copies, and prompts of callers in
+    // other domains would cross to it. At equal loads, the next copy goes to a
+    // domain without one.
     const runners = [
       runner({runnerId: 'r1', models: ['hot']}),
       runner({runnerId: 'r2'}),
@@ -319,13 +336,13 @@
     ];
     const models = [model('hot', {workPerSecond: BUSY_WORK, idleMs: 0})];
     const orders = planCopies({runners, models, storeLoadsLeft: 1});
-    expect(brief(orders)).toEqual(['load hot at r3: relieve']);
+    expect(summarize(orders)).toEqual(['load hot at r3: relieve']);
   });
 
-  it('goes on elsewhere when a runner leaves an order unanswered', () => {
-    // Load: most of the demand moves to a model that nobody holds, and the load
-    // that was ordered got no answer: that runner is about to go. Nobody waits
-    // for it; the next plan loads the model at another one.
+  it('loads elsewhere if a runner leaves an order unanswered', () => {
+    // Most of the demand moves to a model without a copy, and the runner that
+    // was to load it did not answer and may be shutting down. It is not waited
+    // for; the next plan loads the model at another runner.
     const runners = [
       runner({
         runnerId: 'r1',
@@ -341,13 +358,13 @@
       model('cold'),
     ];
     const orders = planCopies({runners, models, storeLoadsLeft: 2});
-    expect(brief(orders)).toEqual(['load hot at r2: orphan']);
+    expect(summarize(orders)).toEqual(['load hot at r2: orphan']);
   });
 
-  it('makes room where no run is under way when demand moves', () => {
-    // Load: demand moves to a model that nobody holds. An unload waits for the
-    // longest of the runs under way, up to 10 s at a busy copy, and the runner
-    // takes no other order meanwhile; callers leave after 2 s.
+  it('evicts a copy without requests in flight when demand moves', () => {
+    // Demand moves to a model without a copy. An unload waits for the longest
+    // request in flight, up to 10 s at a busy copy, and blocks other orders of
+    // the runner; callers leave after 2 s.
     const runners = [
       runner({runnerId: 'r1', models: ['a', 'b'], inUse: {a: 20, b: 3}}),
       runner({runnerId: 'r2', models: ['a', 'c'], inUse: {a: 20}}),
@@ -359,18 +376,22 @@
       model('moved', {workPerSecond: 30, waiting: 10, idleMs: 0}),
     ];
     const [order] = planCopies({runners, models, storeLoadsLeft: 2});
-    expect(brief([order!])).toEqual(['unload c at r2: room for moved']);
+    expect(summarize([order!])).toEqual(['unload c at r2: room for moved']);
   });
 
-  it('gives one copy, not several, to a rare model that is asked for', () => {
-    // Load: one caller waits for a rare model while its first copy is on its
-    // way. Four were begun within 0.3 s, each in place of another model, and
-    // callers of one of those were refused for seconds.
+  it('adds one copy, not several, of a rare model', () => {
+    // Guards against several loads of a rare model. One caller waits while the
+    // first copy is pending. Four loads began within 0.3 s, each in place of
+    // another model, and callers of one of those were refused for seconds.
     const held = ['u', 'v', 'w'].map((name, i) =>
       runner({runnerId: `r${i}`, models: [name, 'busy']}),
     );
-    const coming = {...held[0]!, isBusy: true, models: ['busy']};
-    const runners = [{...coming, intendedModel: 'rare'}, held[1]!, held[2]!];
+    const withPending = {...held[0]!, isBusy: true, models: ['busy']};
+    const runners = [
+      {...withPending, intendedModel: 'rare'},
+      held[1]!,
+      held[2]!,
+    ];
     const models = [
       model('busy', {workPerSecond: 20, idleMs: 0}),
       ...['u', 'v', 'w'].map(name => model(name)),
@@ -385,8 +406,9 @@
     expect(orders.filter(({roomFor}) => roomFor === 'rare')).toEqual([]);
   });
 
-  it('gives no copy up before demand has been heard of for a while', () => {
-    // Load: the first moments of a day. Whoever asks first has all the demand.
+  it('evicts no copy before demand has been observed for a while', () => {
+    // At the start of a day, the first model to be requested has all the
+    // demand.
     const full = runner({runnerId: 'r1', models: ['a', 'idle']});
     const models = [
       model('a', {workPerSecond: 3, idleMs: 10}),
@@ -398,7 +420,7 @@
     expect(planCopies({...input, canEvict: true})).toHaveLength(1);
   });
 
-  it('leaves a runner alone that is busy, and loads nothing over the rate', () => {
+  it('gives no order to a busy runner or beyond the load rate', () => {
     const models = [model('a', {waiting: 3, idleMs: 0})];
     const busy = [runner({runnerId: 'r1', isBusy: true})];
     expect(planCopies({runners: busy, models, storeLoadsLeft: 4})).toEqual([]);
@@ -406,7 +428,7 @@
     expect(planCopies({runners: free, models, storeLoadsLeft: 0})).toEqual([]);
   });
 
-  it('does not relieve where answers come well in time', () => {
+  it('adds no copy if answers are in time', () => {
     const orders = planCopies({
       runners: [
         runner({runnerId: 'r1', models: ['a']}),
@@ -421,7 +443,7 @@
     expect(orders).toEqual([]);
   });
 
-  it('never overfills a runner, nor gives it two orders, nor passes the rate', () => {
+  it('never exceeds the memory, one order per runner, or the load rate', () => {
     const names = ['a', 'b', 'c', 'd', 'e'];
     fc.assert(
       fc.property(
--- a/packages/banyanfold-decisions/src/__tests__/priorityWeight.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/priorityWeight.test.ts
@@ -7,14 +7,15 @@
     ['the least urgent', 2, 2, 1],
     ['one step more', 1, 2, 1.5],
     ['the most urgent', 0, 2, 2],
-    ['one beyond what the routes tell', 5, 2, 1],
+    ['a priority below the lowest', 5, 2, 1],
   ])('%s', (_what, priority, leastUrgent, expected) => {
     expect(priorityWeight(priority, leastUrgent)).toBe(expected);
   });
 
-  it('has the last copy of a model of urgent callers stay', () => {
-    // Load: as many callers ask for a model that nobody holds as for one that has
-    // its only copy, and one has to go. Alike the two would change by turns.
+  it('keeps the last copy of a model of urgent callers', () => {
+    // Guards against two models that replace each other in turn: as many
+    // callers request a model without a copy as one with its only copy, and
+    // there is memory for one.
     const model = (name: string, priority: number): CopyModel => {
       const requestsPerSecond = 4 * priorityWeight(priority, 2);
       const fields = {workPerSecond: 4, idleMs: 0, waiting: 0};
--- a/packages/banyanfold-decisions/src/__tests__/simulateUsage.ts
+++ b/packages/banyanfold-decisions/src/__tests__/simulateUsage.ts
@@ -8,27 +8,24 @@
 
 const ORGANISATION = 'claims';
 const STEP_MS = 10;
-/** Between two reports of an entry. */
+/** Interval between two reports of an entry. */
 export const EXCHANGE_MS = 250;
 
 export interface FleetOptions {
   entries: number;
   limit: UsageLimit;
-  /** Mean tokens of a request; the largest are four times as many. */
+  /** Mean tokens of a request; the largest have four times as many. */
   meanTokens: number;
   askedPerSecond: number;
-  /** From then on so many times as much is asked. */
+  /** Multiplies the demand by `factor` from `fromMs` on. */
   burst?: {fromMs: number; factor: number};
-  /**
-   * Reports reach the holder, and its word the entries, one exchange later, as
-   * through a relay.
-   */
+  /** Reports and snapshots arrive one exchange later, as via a relay. */
   isRelayed?: boolean;
-  forMs: number;
+  durationMs: number;
   random: () => number;
-  /** Whether an entry is cut off from the holder. */
-  isCut?: (entry: number, nowMs: number) => boolean;
-  /** Whether an entry starts anew at this step. */
+  /** Whether an entry is disconnected from the holder. */
+  isDisconnected?: (entry: number, nowMs: number) => boolean;
+  /** Whether an entry restarts at this step. */
   restarts?: (entry: number, nowMs: number) => boolean;
   /** Share of the requests that go to the first entry. */
   skew?: number;
@@ -37,9 +34,9 @@
 export interface FleetOutcome {
   asked: number;
   admitted: number;
-  /** Refused while the whole fleet had something left. */
+  /** Share refused while all entries together had some of the limit left. */
   falselyRefused: number;
-  /** The most tokens in a window beyond its cap, as a share of it. */
+  /** Largest use within a window beyond the cap, as a share of the cap. */
   overshoot: number;
 }
 
@@ -51,35 +48,38 @@
 
 const WINDOW_MS = 8_000;
 
-/** Plays one organisation's load at entries that report to one holder. */
+/** Simulates one organisation's load at entries that report to one holder. */
 export function simulateFleet(options: FleetOptions): FleetOutcome {
-  const {entries: count, limit, forMs, random, skew = 0} = options;
-  const {isCut = () => false, restarts = () => false} = options;
+  const {entries: count, limit, durationMs, random, skew = 0} = options;
+  const {isDisconnected = () => false, restarts = () => false} = options;
   const {burst, isRelayed = false} = options;
-  const late: Array<{atMs: number; report: UsageReport}> = [];
-  const words: Array<{atMs: number; told: FleetUsageSnapshot | undefined}> = [];
+  const delayedReports: Array<{atMs: number; report: UsageReport}> = [];
+  const relayed: Array<{
+    atMs: number;
+    snapshot: FleetUsageSnapshot | undefined;
+  }> = [];
   const fleet = new FleetUsage({
     windowMs: WINDOW_MS,
     startMs: 0,
     limitOf: () => limit,
     initialUse: () => 0,
   });
-  const start = (isUnused: boolean): Entry => ({
-    usage: new OrganisationUsage(isUnused),
+  const startEntry = (isFleetUnused: boolean): Entry => ({
+    usage: new OrganisationUsage(isFleetUnused),
     asked: 0,
     used: 0,
   });
-  const entries = Array.from({length: count}, () => start(true));
+  const entries = Array.from({length: count}, () => startEntry(true));
   const used = new SlidingWindow(WINDOW_MS);
   let falselyRefused = 0;
   let asked = 0;
   const admitted: Array<{atMs: number; tokens: number}> = [];
-  const perStep =
+  const requestsPerStep =
     (options.askedPerSecond * STEP_MS) / 1_000 / options.meanTokens;
-  for (let nowMs = 0; nowMs < forMs; nowMs += STEP_MS) {
+  for (let nowMs = 0; nowMs < durationMs; nowMs += STEP_MS) {
     for (let i = 0; i < count; i++) {
-      if (restarts(i, nowMs)) entries[i] = start(false);
-      if (isCut(i, nowMs)) continue;
+      if (restarts(i, nowMs)) entries[i] = startEntry(false);
+      if (isDisconnected(i, nowMs)) continue;
       if ((nowMs + i * STEP_MS) % EXCHANGE_MS !== 0) continue;
       const entry = entries[i]!;
       const report: UsageReport = {
@@ -87,30 +87,36 @@
         asked: entry.asked,
         used: entry.used,
       };
-      // The relay passes on what it was told an exchange before.
-      late.push({atMs: nowMs + (isRelayed ? EXCHANGE_MS : 0), report});
-      while (late.length > 0 && late[0]!.atMs <= nowMs) {
-        fleet.addReports([late.shift()!.report], nowMs);
+      // The relay passes on the reports of the previous exchange.
+      delayedReports.push({
+        atMs: nowMs + (isRelayed ? EXCHANGE_MS : 0),
+        report,
+      });
+      while (delayedReports.length > 0 && delayedReports[0]!.atMs <= nowMs) {
+        fleet.addReports([delayedReports.shift()!.report], nowMs);
       }
-      const untold = isRelayed ? entry.used : 0;
+      const unaccounted = isRelayed ? entry.used : 0;
       entry.asked = 0;
       entry.used = 0;
       entry.usage.markReported(nowMs);
-      const wordMs = isRelayed ? nowMs - EXCHANGE_MS : nowMs;
-      words.push({atMs: nowMs, told: fleet.snapshot(nowMs)[ORGANISATION]});
-      while (words.length > 1 && words[1]!.atMs <= wordMs) words.shift();
-      const [{atMs, told} = {atMs: nowMs, told: undefined}] = words;
-      if (told) entry.usage.update(told, atMs, untold);
+      const knownMs = isRelayed ? nowMs - EXCHANGE_MS : nowMs;
+      relayed.push({
+        atMs: nowMs,
+        snapshot: fleet.snapshot(nowMs)[ORGANISATION],
+      });
+      while (relayed.length > 1 && relayed[1]!.atMs <= knownMs) relayed.shift();
+      const [{atMs, snapshot} = {atMs: nowMs, snapshot: undefined}] = relayed;
+      if (snapshot) entry.usage.update(snapshot, atMs, unaccounted);
     }
     const factor = burst && nowMs >= burst.fromMs ? burst.factor : 1;
-    let due = perStep * factor;
-    while (due > 0 && random() < due) {
-      due -= 1;
-      const at = random() < skew ? 0 : Math.floor(random() ** 1.5 * count);
+    let dueRequests = requestsPerStep * factor;
+    while (dueRequests > 0 && random() < dueRequests) {
+      dueRequests -= 1;
+      const index = random() < skew ? 0 : Math.floor(random() ** 1.5 * count);
       const tokens = Math.round(
         Math.min(4, -Math.log(1 - random())) * options.meanTokens,
       );
-      const entry = entries[at]!;
+      const entry = entries[index]!;
       asked += tokens;
       entry.asked += tokens;
       const decision = entry.usage.decide(tokens, {
@@ -140,7 +146,7 @@
   admitted: ReadonlyArray<{atMs: number; tokens: number}>,
   {perWindow: cap}: UsageLimit,
 ): number {
-  let most = 0;
+  let largestSum = 0;
   let sum = 0;
   let first = 0;
   for (const {atMs, tokens} of admitted) {
@@ -149,7 +155,7 @@
       sum -= admitted[first]!.tokens;
       first += 1;
     }
-    most = Math.max(most, sum);
+    largestSum = Math.max(largestSum, sum);
   }
-  return most / cap - 1;
+  return largestSum / cap - 1;
 }
--- a/packages/banyanfold-decisions/src/__tests__/views.ts
+++ b/packages/banyanfold-decisions/src/__tests__/views.ts
@@ -10,7 +10,7 @@
 } from '../types.js';
 
 /** An idle runner that holds `m@1`. */
-export function runnerView(changed: Partial<RunnerView> = {}): RunnerView {
+export function runnerView(overrides: Partial<RunnerView> = {}): RunnerView {
   return {
     vmId: 'a',
     failureDomain: 'd0',
@@ -28,12 +28,12 @@
     ownUnreported: 0,
     artifacts: new Set(['m@1']),
     cachedPrefixes: new Set(),
-    ...changed,
+    ...overrides,
   };
 }
 
 export function routingRequest(
-  changed: Partial<RoutingRequest> = {},
+  overrides: Partial<RoutingRequest> = {},
 ): RoutingRequest {
   return {
     artifact: 'm@1',
@@ -45,12 +45,12 @@
     maxTokens: 100,
     firstTokenBudgetMs: 310,
     triedVmIds: [],
-    ...changed,
+    ...overrides,
   };
 }
 
 export function queuedRequest(
-  changed: Partial<QueuedRequest> = {},
+  overrides: Partial<QueuedRequest> = {},
 ): QueuedRequest {
   return {
     attemptId: 'q',
@@ -58,12 +58,12 @@
     enqueuedMs: 0,
     deadlineMs: 310,
     kvBytes: 1,
-    ...changed,
+    ...overrides,
   };
 }
 
 export function admissionView(
-  changed: Partial<AdmissionView> = {},
+  overrides: Partial<AdmissionView> = {},
 ): AdmissionView {
   return {
     running: 0,
@@ -73,14 +73,14 @@
     kvFreeBytes: 100,
     serviceTimeMs: 400,
     firstTokenMs: 30,
-    ...changed,
+    ...overrides,
   };
 }
 
 export function copyOf(
   artifact: string,
   vmId: string,
-  changed: Partial<PlacementCopy> = {},
+  overrides: Partial<PlacementCopy> = {},
 ): PlacementCopy {
   return {
     artifact,
@@ -88,7 +88,7 @@
     copyId: `${artifact}/${vmId}`,
     state: 'held',
     idleMs: 60_000,
-    ...changed,
+    ...overrides,
   };
 }
 
@@ -98,7 +98,7 @@
 export function placementRunner(
   vmId: string,
   artifacts: string[],
-  changed: Partial<PlacementRunner> = {},
+  overrides: Partial<PlacementRunner> = {},
 ): PlacementRunner {
   const copies = artifacts.map(artifact => copyOf(artifact, vmId));
   const usedBytes = copies.reduce((sum, {bytes}) => sum + bytes, 0);
@@ -113,13 +113,13 @@
     running: 0,
     queued: 0,
     copies,
-    ...changed,
+    ...overrides,
   };
 }
 
 export function placementArtifact(
   artifact: string,
-  changed: Partial<PlacementArtifact> = {},
+  overrides: Partial<PlacementArtifact> = {},
 ): PlacementArtifact {
   return {
     artifact,
@@ -129,7 +129,7 @@
     runnerRole: 'desk',
     demandPerSecond: 0,
     waiting: 0,
-    ...changed,
+    ...overrides,
   };
 }
 
