--- a/packages/banyanfold-decisions/src/__tests__/decidePromptWindow.test.ts
+++ b/packages/banyanfold-decisions/src/__tests__/decidePromptWindow.test.ts
@@ -45,7 +45,7 @@
 });
 
 /**
- * Counts the bursts of 40 whose pause was in time, with a fixed window or the
+ * Counts those of 40 bursts whose pause was in time, with a fixed window or the
  * decided one.
  */
 function countBurstsInTime(fixedWindow: number | undefined): number {
--- a/packages/banyanfold-decisions/src/chooseRunner.ts
+++ b/packages/banyanfold-decisions/src/chooseRunner.ts
@@ -138,7 +138,7 @@
       (runner.failureDomain === failureDomain ? 0 : options.otherDomainWork),
   );
   const leastCost = Math.min(...costs);
-  return candidates.filter((_choice, i) => costs[i] === leastCost);
+  return candidates.filter((_runner, i) => costs[i] === leastCost);
 }
 
 /**
--- a/packages/banyanfold-decisions/src/copies/copyMoves.ts
+++ b/packages/banyanfold-decisions/src/copies/copyMoves.ts
@@ -14,9 +14,7 @@
   isFromStore: boolean;
   /** Time until the copy serves. */
   readyMs: number;
-  /**
-   * Callers saved over the horizon, less the cost of evictions and the load.
-   */
+  /** Callers saved over the horizon, less the cost of the move. */
   gain: number;
   reason: 'orphan' | 'relieve' | 'crowded';
 }
--- a/packages/banyanfold-decisions/src/copies/fleetCopies.ts
+++ b/packages/banyanfold-decisions/src/copies/fleetCopies.ts
@@ -146,7 +146,7 @@
     };
   }
 
-  /** Work per second of all copies, in proportion to the model's size. */
+  /** Work per second of all copies, scaled by the size of the model. */
   workOf(model: CopyModel): number {
     return (model.workPerSecond * model.weightsMb) / this.largestMb;
   }
@@ -211,9 +211,7 @@
     return this.callersLostBy(target, this.loadShare(model, share));
   }
 
-  /**
-   * Callers per second that are lost at all holders when one copy is removed.
-   */
+  /** Callers per second lost at all holders when one copy is removed. */
   callersLostByRemoval(model: CopyModel, from: PlannedRunner): number {
     const holders = this.holders.get(model.name) ?? [];
     const count = holders.length;
--- a/packages/banyanfold-decisions/src/decideRoute.ts
+++ b/packages/banyanfold-decisions/src/decideRoute.ts
@@ -36,8 +36,8 @@
 /**
  * Chooses the runner for one request, or refuses the request immediately.
  *
- * @param random breaks near ties; without it, the candidate with the lowest
- * score and name is chosen.
+ * @param random breaks near ties; without it, the lowest score is chosen, and
+ * the first name among equals.
  * @example
  * const decision = decideRoute(view, request, clock.nowMs(), options, random);
  * if (decision.kind === 'route') dispatch(decision.vmId);
--- a/packages/banyanfold-decisions/src/decideSend.ts
+++ b/packages/banyanfold-decisions/src/decideSend.ts
@@ -25,14 +25,10 @@
    * only once.
    */
   maxWaitShare: number;
-  /**
-   * Time for which a request occupies its slot, in ms; streams take 1 to 3 s.
-   */
+  /** Time that a request occupies its slot, in ms; streams take 1 to 3 s. */
   runDurationMs: number;
   minRetryAfterMs: number;
-  /**
-   * Callers honour a Retry-After of up to this share of their remaining time.
-   */
+  /** Callers honour a Retry-After up to this share of their time left. */
   maxRetryAfterShare: number;
 }
 
--- a/packages/banyanfold-decisions/src/decideWait.ts
+++ b/packages/banyanfold-decisions/src/decideWait.ts
@@ -12,9 +12,7 @@
   /** Time from dispatch to the first token at a runner without a queue. */
   firstTokenMs: number;
   minRetryAfterMs: number;
-  /**
-   * Callers honour a Retry-After of up to this share of their remaining time.
-   */
+  /** Callers honour a Retry-After up to this share of their time left. */
   maxRetryAfterShare: number;
 }
 
--- a/packages/banyanfold-decisions/src/options.ts
+++ b/packages/banyanfold-decisions/src/options.ts
@@ -24,9 +24,7 @@
   kvFullCostMs: durationMsSchema.default(200),
   /** Prefill time that one cached prompt token saves. */
   prefixGainPerTokenMs: z.number().nonnegative().default(0.05),
-  /**
-   * Prefix affinity ends when the wait exceeds the best wait by this factor.
-   */
+  /** Prefix affinity ends at a wait of this many times the best wait. */
   affinityLoadFactor: z.number().min(1).default(1.5),
   /** Prefix affinity also holds within this distance of the best wait. */
   affinitySlackMs: durationMsSchema.default(40),
@@ -88,9 +86,7 @@
   slowFactor: z.number().min(1).default(3),
   /** A slow runner's first token also takes this much longer than that. */
   slowMarginMs: durationMsSchema.default(200),
-  /**
-   * Share of all runners that may be ejected at a time; always less than half.
-   */
+  /** Maximum share of runners ejected at a time; always less than half. */
   maxEjectedShare: shareSchema.default(0.34),
   ejectionMs: durationMsSchema.default(10_000),
 });
@@ -118,9 +114,7 @@
   assumedServiceTimeMs: z.number().positive().default(4_000),
   /** A runner with a larger share of its slots in use counts as hot. */
   highUtilization: shareSchema.default(0.6),
-  /**
-   * Above this load of a runner, copies in use are retired for extra copies.
-   */
+  /** Above this load, copies in use may be retired for extra copies. */
   severeLoad: z.number().min(1).default(2),
   /** A runner below this share can take load from others. */
   lowUtilization: shareSchema.default(0.4),
--- a/packages/banyanfold-decisions/src/placement/freeMemory.ts
+++ b/packages/banyanfold-decisions/src/placement/freeMemory.ts
@@ -1,9 +1,7 @@
 import type {PlacementCopy} from '../types.js';
 import type {PlacementPlan, PlannedRunner} from './placementPlan.js';
 
-/**
- * Copies that are retired together: a model with its adapters, or one adapter.
- */
+/** Copies retired together: a model with its adapters, or one adapter. */
 export interface Bundle {
   copies: PlacementCopy[];
   bytes: number;
--- a/packages/banyanfold-decisions/src/placement/placementPlan.ts
+++ b/packages/banyanfold-decisions/src/placement/placementPlan.ts
@@ -95,8 +95,8 @@
 
   /**
    * Plans a retirement that relies on the held copies elsewhere. A copy that is
-   * relied on is never retired in the same decision: each of the two
-   * retirements would be accepted, and together they would leave no copy.
+   * relied on is never retired in the same decision: each retirement would be
+   * accepted by itself, and both together would leave no copy.
    */
   retire(target: PlannedRunner, copy: PlacementCopy, reason: string) {
     if (copy.state !== 'held') return;
--- a/packages/banyanfold-decisions/src/planCopies.ts
+++ b/packages/banyanfold-decisions/src/planCopies.ts
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Counts as needing an eviction, so that callers don't wait for it while
-   * another copy is sooner.
+   * Adds the copy as one that needs an eviction, so that callers don't wait for
+   * it while another copy is ready sooner.
    */
   private addPendingCopy(target: PlannedRunner, model: CopyModel): void {
     if (target.runner.isUnresponsive) return;
--- a/packages/banyanfold-decisions/src/types.ts
+++ b/packages/banyanfold-decisions/src/types.ts
@@ -3,9 +3,7 @@
  * depend on their names.
  */
 
-/**
- * Returns numbers in [0, 1); passed as a parameter so that runs are repeatable.
- */
+/** Returns numbers in [0, 1); a parameter so that runs are repeatable. */
 export type Random = () => number;
 
 /** Why one candidate was chosen or not. */
