--- a/packages/banyanfold-gateway/src/callers/usageAccounts.ts
+++ b/packages/banyanfold-gateway/src/callers/usageAccounts.ts
@@ -1,6 +1,6 @@
 import {
   OrganisationUsage,
-  type FleetUsageTold,
+  type FleetUsageSnapshot,
   type UsageDecision,
   type UsageLimit,
   type UsageReport,
@@ -40,7 +40,7 @@
 
 /** Usage of the whole fleet, as the holder last reported it. */
 interface FleetUsageSnapshot {
-  usage: Readonly<Record<string, FleetUsageTold>>;
+  usage: Readonly<Record<string, FleetUsageSnapshot>>;
   /** When the holder knew it, in ms of the clock. */
   atMs: number;
   /** Share of its limit that an organisation missing in `usage` has left. */
@@ -75,9 +75,9 @@
 
   /** Selects the organisations that may soon have used up their limit. */
   nearLimit(
-    usage: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageSnapshot>>,
     limitOf: (organisation: string) => UsageLimit | undefined,
-  ): Record<string, FleetUsageTold> {
+  ): Record<string, FleetUsageSnapshot> {
     const near = Object.entries(usage).filter(([name, {left}]) => {
       const perWindow = limitOf(name)?.perWindow ?? Infinity;
       return left < perWindow * NEAR_LIMIT_SHARE;
@@ -87,7 +87,7 @@
 
   /** Applies stored usage, unless the holder has already sent its own. */
   restore(
-    usage: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageSnapshot>>,
     ageMs: number,
   ): void {
     if (this.fleetUsage) return;
@@ -112,7 +112,7 @@
   /** Refunds an admitted amount that was not run. */
   refund(organisation: string, amount: number): void {
     const account = this.of(organisation);
-    account.usage.giveBack(amount);
+    account.usage.refund(amount);
     account.unreported -= amount;
     this.meter.note(organisation, 0, -amount);
   }
@@ -123,7 +123,7 @@
       if (!this.options.isKnown(name)) this.accounts.delete(name);
       account.reported = account.unreported;
       account.unreported = 0;
-      account.usage.noteReported(this.options.clock.nowMs());
+      account.usage.markReported(this.options.clock.nowMs());
     }
     return this.meter.take();
   }
@@ -135,7 +135,7 @@
    * @param isRelayed it came through a relay, so it may lack the last report.
    */
   applyFleetUsage(
-    usage: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageSnapshot>>,
     ageMs: number,
     isRelayed: boolean,
   ): void {
@@ -143,7 +143,7 @@
   }
 
   private applySnapshot(
-    usage: Readonly<Record<string, FleetUsageTold>>,
+    usage: Readonly<Record<string, FleetUsageSnapshot>>,
     ageMs: number,
     unlistedShare: number,
     isRelayed: boolean,
@@ -167,7 +167,7 @@
   ): void {
     const {fleetUsage} = this;
     if (!fleetUsage) return;
-    usage.tell(
+    usage.update(
       fleetUsage.usage[name] ?? fleetUsage.unlistedShare,
       fleetUsage.atMs,
       uncounted,
--- a/packages/banyanfold-gateway/src/crashes/crashLedger.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashLedger.ts
@@ -1,8 +1,8 @@
 import type {Clock, Logger, Metrics} from '@banyanfold/core';
 import {
-  JUDGE_CRASHES_OPTIONS,
-  judgeCrashes,
-  type CrashRow,
+  DEFAULT_ATTRIBUTE_CRASHES_OPTIONS,
+  attributeCrashes,
+  type CrashHistory,
   type CrashVerdict,
 } from '@banyanfold/decisions';
 import type {
@@ -24,7 +24,7 @@
   onQuarantine?: (fingerprint: string) => void;
 }
 
-interface LedgerRow extends CrashRow {
+interface LedgerRow extends CrashHistory {
   crashes: Set<string>;
   /** Time of the last event that concerns the request. */
   atMs: number;
@@ -87,8 +87,8 @@
   noteQuarantined(fingerprints: readonly string[]): void {
     for (const fingerprint of fingerprints) {
       const row = this.getOrAddRow(fingerprint);
-      if (row.isKnownGuilty) continue;
-      row.isKnownGuilty = true;
+      if (row.hasPriorQuarantine) continue;
+      row.hasPriorQuarantine = true;
       row.quarantinedAtMs ??= this.options.clock.nowMs();
       this.isChanged = true;
     }
@@ -125,7 +125,7 @@
     const crashesOf = (id: string) => this.rows.get(id)?.crashes.size ?? 0;
     const facts = {
       crashes: crashesOf(fingerprint),
-      isBeingJudged: this.isBeingJudged(fingerprint),
+      isVerdictPending: this.isBeingJudged(fingerprint),
     };
     const decision = this.trials.permit(input, facts, crashesOf);
     if (decision.kind === 'wait') return {reason: decision.reason};
@@ -151,7 +151,7 @@
   private noteServed(fingerprint: string): void {
     this.trials.end(fingerprint);
     const row = this.rows.get(fingerprint);
-    if (!row || row.isKnownGuilty) return;
+    if (!row || row.hasPriorQuarantine) return;
     this.rows.delete(fingerprint);
     this.isChanged = true;
   }
@@ -173,7 +173,7 @@
     if (!this.isChanged && nowMs < this.nextWindowEndMs) return;
     this.isChanged = false;
     const before = this.verdicts;
-    this.verdicts = judgeCrashes(this.rows.values(), crashId =>
+    this.verdicts = attributeCrashes(this.rows.values(), crashId =>
       this.isFullyReported(crashId, nowMs),
     );
     this.nextWindowEndMs = this.findNextWindowEndMs(nowMs);
@@ -203,7 +203,7 @@
   /** Whether it crashed a runner in a trial and reports are outstanding. */
   private isBeingJudged(fingerprint: string): boolean {
     const row = this.rows.get(fingerprint);
-    const {quarantineCrashes} = JUDGE_CRASHES_OPTIONS;
+    const {quarantineCrashes} = DEFAULT_ATTRIBUTE_CRASHES_OPTIONS;
     if (!row?.hasCrashedAlone || row.crashes.size < quarantineCrashes) {
       return false;
     }
@@ -237,7 +237,7 @@
         crashes: new Set(),
         hasCrashedAlone: false,
         unresolvedTrials: 0,
-        isKnownGuilty: false,
+        hasPriorQuarantine: false,
         atMs: this.options.clock.nowMs(),
       };
       this.rows.set(fingerprint, row);
@@ -269,7 +269,7 @@
     row.crashes = new Set([`${fingerprint}#1`, `${fingerprint}#2`]);
     row.hasCrashedAlone = false;
     row.unresolvedTrials = 0;
-    row.isKnownGuilty = false;
+    row.hasPriorQuarantine = false;
     row.quarantinedAtMs = undefined;
     row.atMs = this.options.clock.nowMs();
     this.isChanged = true;
@@ -278,8 +278,8 @@
   /** Evicts the rows with the fewest crashes, the oldest ones first. */
   private evictSurplus(): void {
     if (this.rows.size <= MAX_ROWS) return;
-    const rank = ({crashes, isKnownGuilty}: LedgerRow) =>
-      isKnownGuilty ? MAX_CRASHES_PER_ROW : crashes.size;
+    const rank = ({crashes, hasPriorQuarantine}: LedgerRow) =>
+      hasPriorQuarantine ? MAX_CRASHES_PER_ROW : crashes.size;
     const evicted = [...this.rows.values()]
       .slice(0, -1)
       .sort((a, b) => rank(a) - rank(b) || a.atMs - b.atMs)
--- a/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
@@ -1,5 +1,8 @@
 import type {Clock} from '@banyanfold/core';
-import {JUDGE_CRASHES_OPTIONS, type CrashVerdict} from '@banyanfold/decisions';
+import {
+  DEFAULT_ATTRIBUTE_CRASHES_OPTIONS,
+  type CrashVerdict,
+} from '@banyanfold/decisions';
 import type {
   CrashReport,
   SuspectListVersion,
@@ -61,7 +64,7 @@
     const known = this.findSuspect(fingerprint);
     if (known) return known.untilMs === undefined ? 'suspect' : 'quarantined';
     const crashes = this.localCrashes.get(fingerprint);
-    const {suspectCrashes} = JUDGE_CRASHES_OPTIONS;
+    const {suspectCrashes} = DEFAULT_ATTRIBUTE_CRASHES_OPTIONS;
     if (!crashes || crashes.length < suspectCrashes) return undefined;
     // The holder has judged older crashes and doesn't list the request.
     const judgedUntilMs = this.listReceivedMs - VERDICT_DELAY_MS;
