--- a/packages/banyanfold-gateway/src/callers/usageAccounts.ts
+++ b/packages/banyanfold-gateway/src/callers/usageAccounts.ts
@@ -39,7 +39,7 @@
 }
 
 /** Usage of the whole fleet, as the holder last reported it. */
-interface FleetUsageSnapshot {
+interface FleetUsageState {
   usage: Readonly<Record<string, FleetUsageSnapshot>>;
   /** When the holder knew it, in ms of the clock. */
   atMs: number;
@@ -52,7 +52,7 @@
   /** Also contains the counts of the entries that this one relays for. */
   readonly meter = new UsageMeter();
   private readonly accounts = new Map<string, Account>();
-  private fleetUsage: FleetUsageSnapshot | undefined;
+  private fleetUsage: FleetUsageState | undefined;
 
   constructor(private readonly options: UsageAccountsOptions) {}
 
