--- a/packages/banyanfold-agent/src/__tests__/admissionQueue.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/admissionQueue.test.ts
@@ -84,7 +84,7 @@
     submit('a', {kvBytes: 60});
     submit('b', {kvBytes: 60});
     submit('c', {kvBytes: 200});
-    queue.pump();
+    queue.dispatchWaiting();
     expect(events).toEqual(['0 a start']);
   });
 
@@ -92,7 +92,7 @@
   // every budget. All would be refused, and no sample would ever correct it.
   it('admits again some time after a stall', async () => {
     const {clock, queue, submit, events} = createQueue({maxRunning: 4});
-    for (let sample = 0; sample < 50; sample++) queue.noteFirstToken(5_000, 5);
+    for (let i = 0; i < 50; i++) queue.recordFirstToken(5_000, 5);
     submit('during', {budgetMs: 310});
     await clock.advance(20_000);
     submit('after', {budgetMs: 310});
@@ -104,7 +104,7 @@
   // be refused, and entries would be told of a wait that is not there.
   it('keeps first-token times of classes apart', () => {
     const {queue, submit, events} = createQueue({maxRunning: 4});
-    for (let sample = 0; sample < 50; sample++) queue.noteFirstToken(5_000, 7);
+    for (let i = 0; i < 50; i++) queue.recordFirstToken(5_000, 7);
     expect(queue.queueDelayMs()).toBe(50);
     submit('draft', {priority: 7, budgetMs: 310});
     submit('desk', {priority: 0, budgetMs: 310});
@@ -115,7 +115,7 @@
   // from its dispatch, so it is hopeless sooner than the desk request is.
   it('gives up each waiting request by the time of its class', async () => {
     const {clock, queue, submit, events} = createQueue({});
-    queue.noteFirstToken(1_050, 7);
+    queue.recordFirstToken(1_050, 7);
     submit('running', {priority: 0});
     submit('desk', {priority: 0, budgetMs: 2_000});
     submit('draft', {priority: 7, budgetMs: 2_000});
--- a/packages/banyanfold-agent/src/__tests__/ledgerWorld.ts
+++ b/packages/banyanfold-agent/src/__tests__/ledgerWorld.ts
@@ -8,10 +8,10 @@
 import {errAsync, okAsync} from 'neverthrow';
 import {EngineWatch} from '../control/engineWatch.js';
 import {ProposalHandler} from '../control/proposalHandler.js';
-import {FenceKeeper} from '../engine/fenceKeeper.js';
+import {FencingTokenManager} from '../engine/fencingTokenManager.js';
 import {OrderSender} from '../engine/orderSender.js';
 import {MemoryLedger} from '../memory/memoryLedger.js';
-import {EngineTruth, type OrderFault} from './engineTruth.js';
+import {SimulatedEngine, type OrderFault} from './simulatedEngine.js';
 
 export const CAPACITY_BYTES = 100;
 export const LATE_BOUND_MS = 300;
@@ -32,7 +32,7 @@
 /** An engine, the agent beside it, and what goes wrong between them. */
 export class LedgerWorld {
   readonly clock = new VirtualClock();
-  readonly truth: EngineTruth;
+  readonly truth: SimulatedEngine;
   ledger!: MemoryLedger;
   private agent!: {proposals: ProposalHandler; stop(): void};
   private logIsUp = true;
@@ -41,7 +41,7 @@
   private ownRequests: string[] = [];
 
   constructor(private readonly checksFencing: boolean) {
-    this.truth = new EngineTruth({
+    this.truth = new SimulatedEngine({
       clock: this.clock,
       checksFencing,
       capacityBytes: CAPACITY_BYTES,
@@ -141,7 +141,7 @@
       inheritedBoundMs: 1_000_000,
       nameCopy: nextOrderId,
     });
-    const fence = new FenceKeeper({
+    const fence = new FencingTokenManager({
       log: this.log,
       vmId: 'agent-1',
       clock,
--- a/packages/banyanfold-agent/src/__tests__/memoryLedger.model.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/memoryLedger.model.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import type {OrderFault} from './engineTruth.js';
+import type {OrderFault} from './simulatedEngine.js';
 import {LATE_BOUND_MS, LedgerWorld, type Step} from './ledgerWorld.js';
 
 /** Seed 13 found requests of a predecessor that a lagging report lacked. */
--- a/packages/banyanfold-agent/src/__tests__/orderSender.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/orderSender.test.ts
@@ -1,12 +1,12 @@
 import {MemoryLogger, Metrics, VirtualClock} from '@banyanfold/core';
 import {describe, expect, it} from 'vitest';
-import type {EngineOrder, OrderAnswer} from '../engine/engineSchemas.js';
+import type {EngineOrder, OrderResult} from '../engine/engineSchemas.js';
 import {OrderSender} from '../engine/orderSender.js';
 import {MemoryLedger} from '../memory/memoryLedger.js';
 
 const BOUND_MS = 1_000;
 
-function createSender(answers: OrderAnswer[]) {
+function createSender(answers: OrderResult[]) {
   const clock = new VirtualClock();
   const sent: EngineOrder[] = [];
   const superseded: number[] = [];
@@ -47,15 +47,15 @@
   return {clock, ledger, orders, sent, superseded};
 }
 
-const lost: OrderAnswer = {kind: 'answer-lost'};
-const notSent: OrderAnswer = {kind: 'not-sent'};
-const accepted: OrderAnswer = {kind: 'accepted', visibleAfterMs: 9};
-const refused: OrderAnswer = {
+const lost: OrderResult = {kind: 'answer-lost'};
+const notSent: OrderResult = {kind: 'not-sent'};
+const accepted: OrderResult = {kind: 'accepted', visibleAfterMs: 9};
+const refused: OrderResult = {
   kind: 'refused',
   code: 'out-of-memory',
   engineNowMs: 9,
 };
-const stale = (highestFencing: number): OrderAnswer => ({
+const stale = (highestFencing: number): OrderResult => ({
   kind: 'stale-fencing',
   highestFencing,
   engineNowMs: 9,
@@ -64,7 +64,7 @@
 // The bytes of a load may be given away only when it is certain that the order
 // was never taken and never will be.
 describe('load', () => {
-  it.each<[string, OrderAnswer[], string, number]>([
+  it.each<[string, OrderResult[], string, number]>([
     ['accepted', [accepted], 'reserved', 1],
     ['accepted after lost answers', [lost, lost, accepted], 'reserved', 3],
     ['never answered', [], 'in-doubt', 4],
--- a/packages/banyanfold-agent/src/__tests__/engineTruth.ts
+++ b/packages/banyanfold-agent/src/__tests__/simulatedEngine.ts
@@ -3,7 +3,7 @@
 import type {
   EngineOrder,
   EngineReport,
-  OrderAnswer,
+  OrderResult,
 } from '../engine/engineSchemas.js';
 
 /** What the way to the engine does to one transmission of an order. */
@@ -14,7 +14,7 @@
   state: 'loading' | 'loaded' | 'unloading';
 }
 
-export interface EngineTruthOptions {
+export interface SimulatedEngineOptions {
   clock: Clock;
   checksFencing: boolean;
   capacityBytes: number;
@@ -29,7 +29,7 @@
 const CLOCK_OFFSET_MS = 5_000_000;
 
 /** An engine that commits whatever it is told, and notes what was too much. */
-export class EngineTruth {
+export class SimulatedEngine {
   readonly violations: string[] = [];
   faults: Array<{fault: OrderFault; lateMs: number}> = [];
   reportLagMs = 0;
@@ -41,7 +41,7 @@
   private readonly history: EngineReport[] = [];
   private highestFencing = 0;
 
-  constructor(private readonly options: EngineTruthOptions) {
+  constructor(private readonly options: SimulatedEngineOptions) {
     this.changed();
   }
 
@@ -78,7 +78,7 @@
     return ok({report, timing: {askedAtMs, engineNowMs: this.nowMs()}});
   }
 
-  async order(order: EngineOrder): Promise<OrderAnswer> {
+  async order(order: EngineOrder): Promise<OrderResult> {
     const {clock} = this.options;
     const next = this.faults.shift() ?? {fault: 'none', lateMs: 0};
     const {fault, lateMs} = next;
@@ -95,7 +95,7 @@
     return {kind: 'answer-lost'};
   }
 
-  private apply(order: EngineOrder): OrderAnswer {
+  private apply(order: EngineOrder): OrderResult {
     const earlier = this.accepted.get(order.orderId);
     if (earlier !== undefined) {
       return {kind: 'accepted', visibleAfterMs: earlier};
--- a/packages/banyanfold-agent/src/agent.ts
+++ b/packages/banyanfold-agent/src/agent.ts
@@ -169,7 +169,7 @@
   while (registry.openCount() > 0 && clock.nowMs() < endMs) {
     await sleep(clock, DRAIN_POLL_MS);
   }
-  for (const attempt of registry.dispatched()) {
+  for (const attempt of registry.dispatchedIds()) {
     logger.warn('drain-cut', {attempt, boundMs: settings.drainBoundMs});
   }
   logger.info('drained', {cut: registry.openCount()});
--- a/packages/banyanfold-agent/src/agentContext.ts
+++ b/packages/banyanfold-agent/src/agentContext.ts
@@ -15,7 +15,7 @@
 import type {AdmissionQueue} from './attempts/admissionQueue.js';
 import type {AttemptRegistry} from './attempts/attemptRegistry.js';
 import type {EngineClient} from './engine/engineClient.js';
-import type {FenceKeeper} from './engine/fenceKeeper.js';
+import type {FencingTokenManager} from './engine/fencingTokenManager.js';
 import type {OrderSender} from './engine/orderSender.js';
 import type {MemoryLedger} from './memory/memoryLedger.js';
 import type {AgentSettings} from './settings.js';
@@ -35,7 +35,7 @@
 
 /** The engine, its memory, and the right to give it orders. */
 export interface MemoryParts {
-  fence: FenceKeeper;
+  fence: FencingTokenManager;
   engine: EngineClient;
   ledger: MemoryLedger;
   orders: OrderSender;
--- a/packages/banyanfold-agent/src/attempts/admissionQueue.ts
+++ b/packages/banyanfold-agent/src/attempts/admissionQueue.ts
@@ -127,17 +127,17 @@
       firstTokenMs,
     };
     this.waiting.set(attemptId, {...queued, ticket});
-    this.pump();
+    this.dispatchWaiting();
   }
 
   /** Takes a waiting request out without an answer. */
-  withdraw(attemptId: string): void {
+  remove(attemptId: string): void {
     this.waiting.delete(attemptId);
-    this.pump();
+    this.dispatchWaiting();
   }
 
   /** Learns how long a request of this class took to its first token. */
-  noteFirstToken(sampleMs: number, priority: number): void {
+  recordFirstToken(sampleMs: number, priority: number): void {
     let smoothed = this.firstToken.get(priority);
     if (!smoothed) {
       smoothed = new SmoothedTime(this.options.clock, INITIAL_FIRST_TOKEN_MS);
@@ -150,11 +150,11 @@
   release(attemptId: string, serviceTimeMs?: number): void {
     if (!this.running.delete(attemptId)) return;
     if (serviceTimeMs !== undefined) this.serviceTime.add(serviceTimeMs);
-    this.pump();
+    this.dispatchWaiting();
   }
 
   /** Looks at the queue again: memory or slots may have become free. */
-  pump(): void {
+  dispatchWaiting(): void {
     while (this.pumpOnce());
     this.schedulePump();
   }
@@ -238,7 +238,9 @@
       Math.max(delayMs, PUMP_SLACK_MS),
       MAX_PUMP_DELAY_MS,
     );
-    this.timer = this.options.clock.setTimer(boundedMs, () => this.pump());
+    this.timer = this.options.clock.setTimer(boundedMs, () =>
+      this.dispatchWaiting(),
+    );
   }
 
   private view(): AdmissionView {
--- a/packages/banyanfold-agent/src/attempts/attemptContext.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptContext.ts
@@ -24,6 +24,6 @@
   /** What the configuration says of a model, if it is known. */
   kvBytesPerToken(artifact: string): number | undefined;
   /** A request with this prefix has been through the engine. */
-  notePrefix(prefixHash: string): void;
-  noteServed(artifact: string): void;
+  recordPrefix(prefixHash: string): void;
+  recordServed(artifact: string): void;
 }
--- a/packages/banyanfold-agent/src/attempts/attemptHeaders.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptHeaders.ts
@@ -42,16 +42,16 @@
 export type AttemptHeaders = z.infer<typeof attemptHeadersSchema>;
 
 /** A header that is missing or wrong, of an attempt that is refused for it. */
-export interface HeaderFault {
+export interface HeaderError {
   /** The attempt's id as it was sent, for the echo; empty when there is none. */
   attemptId: string;
   message: string;
 }
 
 /** Reads an attempt's headers, or says which one is missing or wrong. */
-export function readAttemptHeaders(
+export function parseAttemptHeaders(
   headers: IncomingHttpHeaders,
-): Result<AttemptHeaders, HeaderFault> {
+): Result<AttemptHeaders, HeaderError> {
   const fields = Object.entries(HEADER_OF_FIELD).map(([field, name]) => [
     field,
     headers[name],
@@ -80,7 +80,7 @@
 }
 
 /** Splits `services/{service}/{path…}`; undefined for a model's path. */
-export function servicePath(
+export function parseServicePath(
   path: string,
 ): {service: string; path: string} | undefined {
   if (!path.startsWith(SERVICES_PREFIX)) return undefined;
--- a/packages/banyanfold-agent/src/attempts/attemptRegistry.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptRegistry.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@banyanfold/core';
 import type {SealResult} from '@banyanfold/protocol';
-import type {AnswerRecord} from './answerRecord.js';
+import type {ResponseBuffer} from './responseBuffer.js';
 
 /** How far an attempt has come. */
 export type AttemptPhase = 'waiting' | 'dispatched' | 'finished';
@@ -9,7 +9,7 @@
   phase: AttemptPhase;
   /** Takes a waiting attempt out of its queue, or stops a running one. */
   stop(): void;
-  answer: AnswerRecord | undefined;
+  answer: ResponseBuffer | undefined;
   /** What the answer takes, once it is finished. */
   keptBytes: number;
 }
@@ -26,7 +26,7 @@
    */
   attemptIdMs: number;
   /** Finished answers together keep no more; the oldest go first. */
-  maxKeptBytes: number;
+  maxRetainedBytes: number;
 }
 
 /**
@@ -91,12 +91,12 @@
   }
 
   /** Keeps the answer, for an entry that comes back for it. */
-  keepAnswer(attemptId: string, answer: AnswerRecord): void {
+  retainResponse(attemptId: string, answer: ResponseBuffer): void {
     const entry = this.attempts.get(attemptId);
     if (entry) entry.answer = answer;
   }
 
-  answerOf(attemptId: string): AnswerRecord | undefined {
+  responseOf(attemptId: string): ResponseBuffer | undefined {
     return this.attempts.get(attemptId)?.answer;
   }
 
@@ -110,16 +110,16 @@
     const entry = this.attempts.get(attemptId);
     if (!entry || entry.phase === 'finished') return;
     entry.phase = 'finished';
-    entry.keptBytes = entry.answer?.bytes() ?? 0;
+    entry.keptBytes = entry.answer?.byteLength() ?? 0;
     this.keptBytes += entry.keptBytes;
     for (const [oldest, {phase}] of this.attempts) {
-      if (this.keptBytes <= this.options.maxKeptBytes) return;
-      if (phase === 'finished') this.forgetAnswer(oldest);
+      if (this.keptBytes <= this.options.maxRetainedBytes) return;
+      if (phase === 'finished') this.dropResponse(oldest);
     }
   }
 
   /** Drops the kept answer; the id stays known as finished. */
-  forgetAnswer(attemptId: string): void {
+  dropResponse(attemptId: string): void {
     const entry = this.attempts.get(attemptId);
     if (!entry) return;
     this.keptBytes -= entry.keptBytes;
@@ -146,7 +146,7 @@
   }
 
   /** Whether this process has met the attempt, in any phase. */
-  knows(attemptId: string): boolean {
+  has(attemptId: string): boolean {
     return (
       this.attempts.has(attemptId) ||
       this.finished.has(attemptId) ||
@@ -163,7 +163,7 @@
   }
 
   /** Attempts that run now. */
-  dispatched(): string[] {
+  dispatchedIds(): string[] {
     return [...this.attempts]
       .filter(([, {phase}]) => phase === 'dispatched')
       .map(([attemptId]) => attemptId);
--- a/packages/banyanfold-agent/src/attempts/attemptSealer.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptSealer.ts
@@ -28,7 +28,7 @@
   }
 
   seal(attemptId: string, incarnation?: number): SealResult['state'] {
-    const isKnown = this.options.registry.knows(attemptId);
+    const isKnown = this.options.registry.has(attemptId);
     const sealed = this.options.registry.seal(attemptId);
     const isOurs = isKnown || this.isMeantForUs(incarnation);
     const state = isOurs ? sealed : 'unknown';
--- a/packages/banyanfold-agent/src/attempts/attemptServer.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptServer.ts
@@ -1,8 +1,8 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Dispatcher} from 'undici';
 import {
-  readAttemptHeaders,
-  servicePath,
+  parseAttemptHeaders,
+  parseServicePath,
   type AttemptHeaders,
 } from './attemptHeaders.js';
 import type {AttemptContext} from './attemptContext.js';
@@ -10,8 +10,8 @@
 import {readBody} from '../http/readBody.js';
 import {sendRefusal, type Refusal, type RefusalCode} from './refusal.js';
 import {runServiceAttempt, serviceUrl} from './serviceAttempt.js';
-import {parseJsonObject} from './wholeAnswer.js';
-import {ANSWER_LOST} from './engineRejection.js';
+import {parseJsonObject} from './wholeResponse.js';
+import {ENGINE_RESPONSE_LOST} from './engineRejection.js';
 
 const MODEL_PATHS = new Set(['v1/chat/completions', 'v1/completions']);
 const LEAVING_RETRY_AFTER_MS = 250;
@@ -39,7 +39,7 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const read = readAttemptHeaders(req.headers);
+    const read = parseAttemptHeaders(req.headers);
     if (read.isErr()) {
       const {attemptId, message} = read.error;
       this.refuse(res, attemptId, notRun('bad-request', message));
@@ -60,7 +60,7 @@
       this.giveUp(attempt, notRun('body-too-large', 'the body is too large'));
       return;
     }
-    const service = servicePath(path);
+    const service = parseServicePath(path);
     if (service) await this.callService(attempt, service, body);
     else this.admit(attempt, body);
   }
@@ -79,7 +79,7 @@
       return notRun('leaving', 'this server leaves', LEAVING_RETRY_AFTER_MS);
     }
     const isModel = MODEL_PATHS.has(path);
-    if (!isModel && !servicePath(path)) {
+    if (!isModel && !parseServicePath(path)) {
       return notRun('bad-request', 'no such path');
     }
     if (isModel && !context.ledger.canServe(artifact)) {
@@ -119,7 +119,7 @@
     const leave = () => context.ledger.endUse(artifact);
     context.registry.onSeal(attemptId, () => {
       leave();
-      context.queue.withdraw(attemptId);
+      context.queue.remove(attemptId);
       this.refuse(res, attemptId, notRun('sealed', 'sealed while it waited'));
     });
     context.queue.submit({
@@ -143,7 +143,7 @@
     attempt.run().catch((error: unknown) => {
       // Without this a fault of ours would keep the slot taken for good.
       this.context.logger.error('attempt-failed', {error: String(error)});
-      return attempt.endUnknown(ANSWER_LOST);
+      return attempt.finishUnknown(ENGINE_RESPONSE_LOST);
     });
   }
 
--- a/packages/banyanfold-agent/src/attempts/engineCanceller.ts
+++ b/packages/banyanfold-agent/src/attempts/engineCanceller.ts
@@ -50,7 +50,7 @@
   }
 
   /** Cancels again after the time in which the request may still arrive. */
-  async cancelLate(engineRequestId: string): Promise<void> {
+  async cancelAfterLateBound(engineRequestId: string): Promise<void> {
     await sleep(this.options.clock, this.options.orderLateBoundMs);
     await this.cancel(engineRequestId);
   }
--- a/packages/banyanfold-agent/src/attempts/engineRejection.ts
+++ b/packages/banyanfold-agent/src/attempts/engineRejection.ts
@@ -17,7 +17,7 @@
 };
 
 /** What an error status of the engine means for the caller. */
-export async function readRejection(
+export async function readEngineRefusal(
   response: EngineResponse,
 ): Promise<Refusal> {
   const {statusCode} = response;
@@ -30,7 +30,7 @@
 }
 
 /** Nothing left this process. */
-export function unreachable(message: string): Refusal {
+export function engineUnreachable(message: string): Refusal {
   return {
     code: 'engine-unreachable',
     outcome: 'not-run',
@@ -39,7 +39,7 @@
   };
 }
 
-export const ANSWER_LOST: Refusal = {
+export const ENGINE_RESPONSE_LOST: Refusal = {
   code: 'answer-lost',
   outcome: 'unknown',
   message: "the engine's answer was lost or is not this request's",
--- a/packages/banyanfold-agent/src/attempts/streamPump.ts
+++ b/packages/banyanfold-agent/src/attempts/engineStreamReader.ts
@@ -17,7 +17,7 @@
 }
 
 /** How a stream is read. */
-export interface StreamPumpOptions {
+export interface EngineStreamReaderOptions {
   engine: Pick<EngineClient, 'resume'>;
   clock: Clock;
   logger: Logger;
@@ -44,11 +44,11 @@
  * event. Whatever the kind, the stream is asked for again after the last good
  * event; only `[DONE]` in its place makes it complete.
  */
-export class StreamPump {
+export class EngineStreamReader {
   private readonly verifier: StreamVerifier;
   private sawEvent = false;
 
-  constructor(private readonly options: StreamPumpOptions) {
+  constructor(private readonly options: EngineStreamReaderOptions) {
     this.verifier = new StreamVerifier({
       engineRequestId: options.engineRequestId,
       callerRequestId: options.callerRequestId,
@@ -140,7 +140,7 @@
 
   private takeAll(events: EventSourceMessage[]): ReadEnd | undefined {
     for (const event of events) {
-      const verified = this.verifier.take(event);
+      const verified = this.verifier.verify(event);
       const end = this.handlers[verified.kind](verified as never);
       if (end) return end;
     }
--- a/packages/banyanfold-agent/src/attempts/modelAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/modelAttempt.ts
@@ -1,14 +1,18 @@
 import type {ServerResponse} from 'node:http';
 import type {EngineResponse} from '../engine/engineClient.js';
-import {commonHeaders, writeStreamHead} from './answerHeads.js';
+import {commonHeaders, writeStreamHeaders} from './responseHeaders.js';
 import type {AttemptContext} from './attemptContext.js';
 import {engineRequestId, type AttemptHeaders} from './attemptHeaders.js';
-import {ANSWER_LOST, readRejection, unreachable} from './engineRejection.js';
+import {
+  ENGINE_RESPONSE_LOST,
+  readEngineRefusal,
+  engineUnreachable,
+} from './engineRejection.js';
 import {sendRefusal, type Refusal} from './refusal.js';
-import {StreamPump} from './streamPump.js';
-import {StreamRecord} from './streamRecord.js';
-import {readWhole, rewriteWhole} from './wholeAnswer.js';
-import {WholeRecord} from './wholeRecord.js';
+import {EngineStreamReader} from './engineStreamReader.js';
+import {StreamBuffer} from './streamBuffer.js';
+import {readWholeBody, replaceResponseId} from './wholeResponse.js';
+import {WholeResponseBuffer} from './wholeResponseBuffer.js';
 
 const FIRST_ERROR_STATUS = 400;
 
@@ -26,7 +30,7 @@
   private readonly abort = new AbortController();
   private readonly attemptId: string;
   private readonly ids: {engineRequestId: string; callerRequestId: string};
-  private readonly record: StreamRecord | WholeRecord;
+  private readonly record: StreamBuffer | WholeResponseBuffer;
   private startedMs = 0;
   private firstEventMs: number | undefined;
   private isOver = false;
@@ -52,9 +56,9 @@
     const {registry, clock, engine} = this.context;
     const {path, headers, body, res} = this.input;
     this.startedMs = clock.nowMs();
-    registry.keepAnswer(this.attemptId, this.record);
+    registry.retainResponse(this.attemptId, this.record);
     registry.onSeal(this.attemptId, () => this.abort.abort());
-    if (this.record instanceof WholeRecord) this.record.attach(res, 0);
+    if (this.record instanceof WholeResponseBuffer) this.record.attach(res, 0);
     const sent = await engine.send({
       path,
       engineRequestId: this.ids.engineRequestId,
@@ -62,34 +66,34 @@
       body: JSON.stringify(body),
       stream: body.stream === true,
       signal: this.abort.signal,
-      mayNotRepeat: headers.idempotencyKey !== undefined,
+      mustNotRepeat: headers.idempotencyKey !== undefined,
     });
     if (sent.isErr() && sent.error.code === 'not-sent') {
-      this.endNotRun(unreachable(sent.error.message));
+      this.endNotRun(engineUnreachable(sent.error.message));
       return;
     }
     const response = sent.unwrapOr(undefined);
     this.wasAnswered = response !== undefined;
     if (response && response.statusCode >= FIRST_ERROR_STATUS) {
-      const refusal = await readRejection(response);
+      const refusal = await readEngineRefusal(response);
       if (refusal.outcome === 'not-run') this.endNotRun(refusal);
-      else await this.endUnknown(refusal);
+      else await this.finishUnknown(refusal);
       return;
     }
     const {record} = this;
     const isWhole =
-      record instanceof StreamRecord
+      record instanceof StreamBuffer
         ? await this.readStream(record, response)
         : await this.readWhole(record, response);
     if (isWhole) this.endWell();
-    else await this.endUnknown(ANSWER_LOST);
+    else await this.finishUnknown(ENGINE_RESPONSE_LOST);
   }
 
   /**
    * It may have run, and nobody can say. The slot stays taken until the engine
    * runs it no more, its KV memory until it can't run it later either.
    */
-  async endUnknown(refusal: Refusal): Promise<void> {
+  async finishUnknown(refusal: Refusal): Promise<void> {
     if (this.isOver) return;
     this.isOver = true;
     this.abort.abort();
@@ -99,14 +103,14 @@
     const state = await canceller.cancel(this.ids.engineRequestId);
     this.end(refusal.code);
     if (state === 'unknown' && !this.wasAnswered) {
-      await canceller.cancelLate(this.ids.engineRequestId);
+      await canceller.cancelAfterLateBound(this.ids.engineRequestId);
     }
     ledger.budget.releaseKv(this.attemptId);
   }
 
   /** Reads a stream to its true end; false when that was not reached. */
   private async readStream(
-    record: StreamRecord,
+    record: StreamBuffer,
     response: EngineResponse | undefined,
   ): Promise<boolean> {
     const {settings, engine, clock, logger, metrics} = this.context;
@@ -115,7 +119,7 @@
     // engine knows the stream by its id if it ever got the request. Until it
     // does, no head is sent, so that the entry can be told that it was lost.
     if (response) attach();
-    const pump = new StreamPump({
+    const pump = new EngineStreamReader({
       engine,
       clock,
       logger,
@@ -137,11 +141,11 @@
   }
 
   private async readWhole(
-    record: WholeRecord,
+    record: WholeResponseBuffer,
     response: EngineResponse | undefined,
   ): Promise<boolean> {
-    const body = response && (await readWhole(response));
-    const answer = body && rewriteWhole(body, this.ids);
+    const body = response && (await readWholeBody(response));
+    const answer = body && replaceResponseId(body, this.ids);
     if (!answer) {
       const fault = body ? 'foreign-whole' : 'cut-whole';
       this.context.metrics.count('agent_stream_faults_total', {fault});
@@ -167,7 +171,12 @@
 
   private endWell(): void {
     this.isOver = true;
-    const {clock, notePrefix, noteServed, registry} = this.context;
+    const {
+      clock,
+      recordPrefix: notePrefix,
+      recordServed: noteServed,
+      registry,
+    } = this.context;
     const {prefixHash, artifact} = this.input.headers;
     notePrefix(prefixHash);
     noteServed(artifact);
@@ -180,7 +189,7 @@
     const {registry, clock, settings} = this.context;
     this.leaveSlot(serviceTimeMs);
     clock.setTimer(settings.resumeWindowMs, () =>
-      registry.forgetAnswer(this.attemptId),
+      registry.dropResponse(this.attemptId),
     );
     this.log(result, serviceTimeMs);
   }
@@ -201,7 +210,7 @@
   private noteFirstEvent(): void {
     this.firstEventMs = this.context.clock.nowMs() - this.startedMs;
     const {priority} = this.input.headers;
-    this.context.queue.noteFirstToken(this.firstEventMs, priority);
+    this.context.queue.recordFirstToken(this.firstEventMs, priority);
     this.context.metrics.observeMs('agent_first_token_ms', this.firstEventMs);
   }
 
@@ -217,21 +226,21 @@
     });
   }
 
-  private streamRecord(): StreamRecord {
+  private streamRecord(): StreamBuffer {
     const {clock, settings} = this.context;
-    return new StreamRecord({
+    return new StreamBuffer({
       attemptId: this.attemptId,
       clock,
       resumeWindowMs: settings.resumeWindowMs,
       maxBytes: settings.retention.bytesPerAttempt,
-      writeHead: res => writeStreamHead(res, this.attemptId, this.context),
+      writeHead: res => writeStreamHeaders(res, this.attemptId, this.context),
       onAbandoned: () => this.abort.abort(),
     });
   }
 
-  private wholeRecord(): WholeRecord {
+  private wholeRecord(): WholeResponseBuffer {
     const {clock, settings} = this.context;
-    return new WholeRecord({
+    return new WholeResponseBuffer({
       clock,
       resumeWindowMs: settings.resumeWindowMs,
       commonHeaders: () => commonHeaders(this.attemptId, this.context),
--- a/packages/banyanfold-agent/src/attempts/answerRecord.ts
+++ b/packages/banyanfold-agent/src/attempts/responseBuffer.ts
@@ -2,14 +2,14 @@
 import type {Clock, Timer} from '@banyanfold/core';
 
 /** An answer that an entry can come back for. */
-export interface AnswerRecord {
+export interface ResponseBuffer {
   /** Sends what comes after `afterSeq`; false when that isn't kept. */
   attach(res: ServerResponse, afterSeq: number): boolean;
-  bytes(): number;
+  byteLength(): number;
 }
 
 /** How the reader of an answer is watched. */
-export interface ReaderWatchOptions {
+export interface ReaderTrackerOptions {
   clock: Clock;
   resumeWindowMs: number;
   /** Nobody has come back for the answer in time. */
@@ -21,19 +21,19 @@
  * comes back within moments; one that doesn't has no caller any more, and the
  * work is of no use to anyone.
  */
-export class ReaderWatch {
+export class ReaderTracker {
   private reader: ServerResponse | undefined;
   private timer: Timer | undefined;
   private readonly waiters = new Set<() => void>();
 
-  constructor(private readonly options: ReaderWatchOptions) {}
+  constructor(private readonly options: ReaderTrackerOptions) {}
 
   get current(): ServerResponse | undefined {
     return this.reader;
   }
 
   /** A new reader takes the place of an older one. */
-  set(res: ServerResponse): void {
+  attach(res: ServerResponse): void {
     const previous = this.reader;
     this.reader = res;
     this.timer?.cancel();
@@ -48,7 +48,7 @@
   }
 
   /** Stops watching: the answer is complete or given up. */
-  end(): void {
+  stop(): void {
     this.timer?.cancel();
     this.timer = undefined;
     this.reader = undefined;
--- a/packages/banyanfold-agent/src/attempts/answerHeads.ts
+++ b/packages/banyanfold-agent/src/attempts/responseHeaders.ts
@@ -14,7 +14,7 @@
 }
 
 /** Begins a stream's answer. */
-export function writeStreamHead(
+export function writeStreamHeaders(
   res: ServerResponse,
   attemptId: string,
   context: Pick<AttemptContext, 'loadHeader'>,
--- a/packages/banyanfold-agent/src/attempts/resumeAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/resumeAttempt.ts
@@ -1,10 +1,10 @@
 import type {ServerResponse} from 'node:http';
 import type {AttemptContext} from './attemptContext.js';
 import {engineRequestId} from './attemptHeaders.js';
-import {writeStreamHead} from './answerHeads.js';
+import {writeStreamHeaders} from './responseHeaders.js';
 import {sendRefusal, type Refusal} from './refusal.js';
-import {StreamPump} from './streamPump.js';
-import {StreamRecord} from './streamRecord.js';
+import {EngineStreamReader} from './engineStreamReader.js';
+import {StreamBuffer} from './streamBuffer.js';
 
 /** An entry that comes back for its answer. */
 export interface ResumeInput {
@@ -23,7 +23,7 @@
   input: ResumeInput,
 ): Promise<void> {
   const {attemptId, afterSeq, res} = input;
-  const kept = context.registry.answerOf(attemptId);
+  const kept = context.registry.responseOf(attemptId);
   const isKept = kept?.attach(res, afterSeq) ?? false;
   context.logger.info('resume', {attempt: attemptId, afterSeq, kept: isKept});
   if (isKept) return;
@@ -64,22 +64,22 @@
     refuse();
     return;
   }
-  const record = new StreamRecord({
+  const record = new StreamBuffer({
     attemptId,
     clock,
     resumeWindowMs: settings.resumeWindowMs,
     maxBytes: settings.retention.bytesPerAttempt,
     startSeq: afterSeq,
-    writeHead: response => writeStreamHead(response, attemptId, context),
+    writeHead: response => writeStreamHeaders(response, attemptId, context),
     onAbandoned: () => abort.abort(),
   });
   const isNew = context.registry.begin(attemptId) === 'begun';
   if (isNew) {
     context.registry.dispatch(attemptId);
-    context.registry.keepAnswer(attemptId, record);
+    context.registry.retainResponse(attemptId, record);
   }
   record.attach(res, afterSeq);
-  const pump = new StreamPump({
+  const pump = new EngineStreamReader({
     engine,
     clock,
     logger,
@@ -99,7 +99,7 @@
   if (isNew) {
     context.registry.finish(attemptId);
     clock.setTimer(settings.resumeWindowMs, () =>
-      context.registry.forgetAnswer(attemptId),
+      context.registry.dropResponse(attemptId),
     );
   }
   if (!isWhole && isNew) await canceller.cancel(engineId);
--- a/packages/banyanfold-agent/src/attempts/serviceAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/serviceAttempt.ts
@@ -3,9 +3,9 @@
 import {isNotSent} from '../engine/engineClient.js';
 import type {AttemptHeaders} from './attemptHeaders.js';
 import type {AttemptContext} from './attemptContext.js';
-import {commonHeaders} from './answerHeads.js';
+import {commonHeaders} from './responseHeaders.js';
 import {sendRefusal, type Refusal} from './refusal.js';
-import {WholeRecord} from './wholeRecord.js';
+import {WholeResponseBuffer} from './wholeResponseBuffer.js';
 
 /** Headers of the service's answer that the caller gets. */
 const FORWARDED_ANSWER_HEADERS = ['content-type', 'retry-after', 'location'];
@@ -62,19 +62,19 @@
 ): Promise<void> {
   const {registry, clock, settings, metrics, logger} = context;
   const {attemptId, requestId} = input.headers;
-  const record = new WholeRecord({
+  const record = new WholeResponseBuffer({
     clock,
     resumeWindowMs: settings.resumeWindowMs,
     commonHeaders: () => commonHeaders(attemptId, context),
     // The call has its effect whether or not somebody waits for its answer.
     onAbandoned: () => {},
   });
-  registry.keepAnswer(attemptId, record);
+  registry.retainResponse(attemptId, record);
   record.attach(input.res, 0);
   const result = await callOnce();
   registry.finish(attemptId);
   clock.setTimer(settings.resumeWindowMs, () =>
-    registry.forgetAnswer(attemptId),
+    registry.dropResponse(attemptId),
   );
   metrics.count('agent_service_calls_total', {result});
   logger.info('service-call', {attempt: attemptId, request: requestId, result});
--- a/packages/banyanfold-agent/src/attempts/streamRecord.ts
+++ b/packages/banyanfold-agent/src/attempts/streamBuffer.ts
@@ -1,6 +1,6 @@
 import type {ServerResponse} from 'node:http';
 import type {Clock} from '@banyanfold/core';
-import {ReaderWatch, type AnswerRecord} from './answerRecord.js';
+import {ReaderTracker, type ResponseBuffer} from './responseBuffer.js';
 
 interface Frame {
   seq: number;
@@ -8,7 +8,7 @@
 }
 
 /** How a stream's record is built. */
-export interface StreamRecordOptions {
+export interface StreamBufferOptions {
   attemptId: string;
   clock: Clock;
   resumeWindowMs: number;
@@ -29,19 +29,19 @@
  * await record.writable();
  * record.complete();
  */
-export class StreamRecord implements AnswerRecord {
+export class StreamBuffer implements ResponseBuffer {
   private readonly frames: Frame[] = [];
-  private readonly watch: ReaderWatch;
+  private readonly tracker: ReaderTracker;
   private keptBytes = 0;
   private wasAttached = false;
   private readerHasThrough = 0;
   private state: 'open' | 'complete' | 'broken' = 'open';
 
-  constructor(private readonly options: StreamRecordOptions) {
-    this.watch = new ReaderWatch(options);
+  constructor(private readonly options: StreamBufferOptions) {
+    this.tracker = new ReaderTracker(options);
   }
 
-  bytes(): number {
+  byteLength(): number {
     return this.keptBytes;
   }
 
@@ -56,7 +56,7 @@
       if (frame.seq > afterSeq) res.write(frame.text);
     }
     if (this.state === 'complete') res.end();
-    else this.watch.set(res);
+    else this.tracker.attach(res);
     return true;
   }
 
@@ -70,7 +70,7 @@
     const text = `id: ${this.options.attemptId}/${seq}\ndata: ${data}\n\n`;
     this.frames.push({seq, text});
     this.keptBytes += text.length;
-    if (seq > this.readerHasThrough) this.watch.current?.write(text);
+    if (seq > this.readerHasThrough) this.tracker.current?.write(text);
     while (this.keptBytes > this.options.maxBytes && this.frames.length > 1) {
       this.keptBytes -= this.frames.shift()!.text.length;
     }
@@ -78,27 +78,27 @@
 
   /** Resolves when the reader, or the record without one, can take more. */
   async writable(): Promise<void> {
-    while (this.state === 'open' && this.isFull()) await this.watch.changed();
+    while (this.state === 'open' && this.isFull()) await this.tracker.changed();
   }
 
   /** Ends cleanly; only after the end marker was appended. */
   complete(): void {
     this.state = 'complete';
-    const reader = this.watch.current;
-    this.watch.end();
+    const reader = this.tracker.current;
+    this.tracker.stop();
     reader?.end();
   }
 
   /** Ends visibly broken: a clean end would make a part look whole. */
   fail(): undefined {
     this.state = 'broken';
-    const reader = this.watch.current;
-    this.watch.end();
+    const reader = this.tracker.current;
+    this.tracker.stop();
     reader?.destroy();
   }
 
   isFull(): boolean {
-    const reader = this.watch.current;
+    const reader = this.tracker.current;
     if (reader) return reader.writableNeedDrain;
     return this.keptBytes >= this.options.maxBytes / 2;
   }
--- a/packages/banyanfold-agent/src/attempts/wholeAnswer.ts
+++ b/packages/banyanfold-agent/src/attempts/wholeResponse.ts
@@ -2,7 +2,7 @@
 import {toCallerId} from '../engine/streamVerifier.js';
 
 /** The whole body, or undefined when any of it is missing. */
-export async function readWhole(
+export async function readWholeBody(
   response: EngineResponse,
 ): Promise<Buffer | undefined> {
   try {
@@ -19,7 +19,7 @@
  * Puts the caller's id into an answer; undefined for an answer that is no JSON
  * object or bears the id of another request.
  */
-export function rewriteWhole(
+export function replaceResponseId(
   body: Buffer,
   ids: {engineRequestId: string; callerRequestId: string},
 ): Buffer | undefined {
--- a/packages/banyanfold-agent/src/attempts/wholeRecord.ts
+++ b/packages/banyanfold-agent/src/attempts/wholeResponseBuffer.ts
@@ -1,16 +1,16 @@
 import type {ServerResponse} from 'node:http';
 import type {Clock} from '@banyanfold/core';
-import {ReaderWatch, type AnswerRecord} from './answerRecord.js';
+import {ReaderTracker, type ResponseBuffer} from './responseBuffer.js';
 
 /** An answer that is sent in one piece. */
-export interface WholeAnswer {
+export interface WholeResponse {
   status: number;
   headers: Record<string, string>;
   body: Buffer;
 }
 
 /** How a whole answer's record is built. */
-export interface WholeRecordOptions {
+export interface WholeResponseBufferOptions {
   clock: Clock;
   resumeWindowMs: number;
   /** Headers that each answer to an entry bears. */
@@ -19,42 +19,42 @@
 }
 
 /** A whole answer, for the entry that waits and for one that comes back. */
-export class WholeRecord implements AnswerRecord {
-  private readonly watch: ReaderWatch;
-  private answer: WholeAnswer | undefined;
+export class WholeResponseBuffer implements ResponseBuffer {
+  private readonly tracker: ReaderTracker;
+  private answer: WholeResponse | undefined;
   private broken = false;
 
-  constructor(private readonly options: WholeRecordOptions) {
-    this.watch = new ReaderWatch(options);
+  constructor(private readonly options: WholeResponseBufferOptions) {
+    this.tracker = new ReaderTracker(options);
   }
 
-  bytes(): number {
+  byteLength(): number {
     return this.answer?.body.length ?? 0;
   }
 
   attach(res: ServerResponse, _afterSeq: number): boolean {
     if (this.broken) return false;
     if (this.answer) this.send(res, this.answer);
-    else this.watch.set(res);
+    else this.tracker.attach(res);
     return true;
   }
 
-  complete(answer: WholeAnswer): void {
+  complete(answer: WholeResponse): void {
     this.answer = answer;
-    const reader = this.watch.current;
-    this.watch.end();
+    const reader = this.tracker.current;
+    this.tracker.stop();
     if (reader) this.send(reader, answer);
   }
 
   /** Gives up, and hands back the reader that must be told. */
   fail(): ServerResponse | undefined {
     this.broken = true;
-    const reader = this.watch.current;
-    this.watch.end();
+    const reader = this.tracker.current;
+    this.tracker.stop();
     return reader;
   }
 
-  private send(res: ServerResponse, {status, headers, body}: WholeAnswer) {
+  private send(res: ServerResponse, {status, headers, body}: WholeResponse) {
     res.writeHead(status, {
       ...this.options.commonHeaders(),
       ...headers,
--- a/packages/banyanfold-agent/src/control/engineWatch.ts
+++ b/packages/banyanfold-agent/src/control/engineWatch.ts
@@ -2,7 +2,7 @@
 import {Backoff} from '@banyanfold/log';
 import type {EngineClient} from '../engine/engineClient.js';
 import type {EngineReport} from '../engine/engineSchemas.js';
-import type {FenceKeeper} from '../engine/fenceKeeper.js';
+import type {FencingTokenManager} from '../engine/fencingTokenManager.js';
 import type {OrderSender} from '../engine/orderSender.js';
 import type {LedgerEvent} from '../memory/allocation.js';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
@@ -19,7 +19,7 @@
   engine: Pick<EngineClient, 'report'>;
   ledger: MemoryLedger;
   orders: OrderSender;
-  fence: FenceKeeper;
+  fence: FencingTokenManager;
   intervalMs: number;
   /** The role to repeat in a barrier, which must change nothing. */
   runnerRole(): string;
--- a/packages/banyanfold-agent/src/engine/engineClient.ts
+++ b/packages/banyanfold-agent/src/engine/engineClient.ts
@@ -4,7 +4,7 @@
 import type {z} from 'zod';
 import {
   cacheEventsSchema,
-  cancelAnswerSchema,
+  cancelResponseSchema,
   engineReportSchema,
   orderAcceptedSchema,
   orderRefusedSchema,
@@ -12,7 +12,7 @@
   type CancelState,
   type EngineOrder,
   type EngineReport,
-  type OrderAnswer,
+  type OrderResult,
 } from './engineSchemas.js';
 import type {ReportTiming} from '../memory/allocation.js';
 
@@ -48,7 +48,7 @@
   stream: boolean;
   signal: AbortSignal;
   /** Whether it gets a connection of its own; see `dispatcherFor`. */
-  mayNotRepeat: boolean;
+  mustNotRepeat: boolean;
 }
 
 export type EngineResponse = Dispatcher.ResponseData;
@@ -92,7 +92,7 @@
    * nothing. Such a request has a connection to itself, where a failed connect
    * proves that nothing was sent.
    */
-  private dispatcherFor({mayNotRepeat}: EngineRequest): Agent {
+  private dispatcherFor({mustNotRepeat: mayNotRepeat}: EngineRequest): Agent {
     return mayNotRepeat ? this.fresh : this.data;
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** Sends an order once. It never throws and never repeats. */
-  async order(order: EngineOrder): Promise<OrderAnswer> {
+  async order(order: EngineOrder): Promise<OrderResult> {
     try {
       const response = await request(`${this.base}/orders`, {
         method: 'POST',
@@ -188,7 +188,7 @@
     }
     const read = await this.readJson('cancel-stream', answer.value);
     return read.andThen(body => {
-      const checked = cancelAnswerSchema.safeParse(body);
+      const checked = cancelResponseSchema.safeParse(body);
       if (checked.success) return ok(checked.data.state);
       return err(this.fault('bad-answer', 'cancel-stream', checked.error));
     });
@@ -269,7 +269,7 @@
   return Math.max(receivedAtMs, engineNowMs);
 }
 
-function readOrderAnswer(response: EngineResponse, body: unknown): OrderAnswer {
+function readOrderAnswer(response: EngineResponse, body: unknown): OrderResult {
   const engineNowMs = engineNow(response);
   const accepted = orderAcceptedSchema.safeParse(body);
   if (response.statusCode < 300 && accepted.success) {
--- a/packages/banyanfold-agent/src/engine/engineSchemas.ts
+++ b/packages/banyanfold-agent/src/engine/engineSchemas.ts
@@ -42,13 +42,13 @@
   highestFencing: z.number().optional(),
 });
 
-export const cancelAnswerSchema = z.object({
+export const cancelResponseSchema = z.object({
   state: z.enum(['cancelled', 'finished', 'unknown']),
 });
 
 export type EngineReport = z.infer<typeof engineReportSchema>;
 export type CacheEvents = z.infer<typeof cacheEventsSchema>;
-export type CancelState = z.infer<typeof cancelAnswerSchema>['state'];
+export type CancelState = z.infer<typeof cancelResponseSchema>['state'];
 
 /** An order to the engine; idempotent by its id. */
 export interface EngineOrder {
@@ -61,7 +61,7 @@
 }
 
 /** What became of one transmission of an order. */
-export type OrderAnswer =
+export type OrderResult =
   /** Engine clock: a report taken later shows what the order did. */
   | {kind: 'accepted'; visibleAfterMs: number}
   | {kind: 'stale-fencing'; highestFencing: number; engineNowMs: number}
--- a/packages/banyanfold-agent/src/engine/fenceKeeper.ts
+++ b/packages/banyanfold-agent/src/engine/fencingTokenManager.ts
@@ -7,7 +7,7 @@
 const PROVISIONAL_RANGE = 2 ** 48;
 
 /** How a fence keeper is built. */
-export interface FenceKeeperOptions {
+export interface FencingTokenManagerOptions {
   log: LogService;
   vmId: string;
   clock: Clock;
@@ -22,14 +22,14 @@
  * serves under a provisional incarnation: negative, as no offset is, and drawn
  * at random, so that an attempt meant for an earlier process can't match it.
  */
-export class FenceKeeper {
+export class FencingTokenManager {
   private readonly provisional: number;
   private fencing: number | undefined;
   private first: number | undefined;
   private stopped = false;
   private superseded = false;
 
-  constructor(private readonly options: FenceKeeperOptions) {
+  constructor(private readonly options: FencingTokenManagerOptions) {
     const drawn = Math.floor(options.random() * PROVISIONAL_RANGE);
     this.provisional = -1 - drawn;
   }
@@ -40,7 +40,7 @@
   }
 
   /** Whether an attempt that names this incarnation means this process. */
-  isOwn(incarnation: number): boolean {
+  isOwnIncarnation(incarnation: number): boolean {
     return incarnation === this.provisional || incarnation === this.first;
   }
 
--- a/packages/banyanfold-agent/src/engine/orderSender.ts
+++ b/packages/banyanfold-agent/src/engine/orderSender.ts
@@ -1,7 +1,7 @@
 import {sleep, type Clock, type Logger, type Metrics} from '@banyanfold/core';
 import {Backoff} from '@banyanfold/log';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
-import type {EngineOrder, OrderAnswer} from './engineSchemas.js';
+import type {EngineOrder, OrderResult} from './engineSchemas.js';
 
 /** After this many transmissions a load order is left to the reports. */
 const MAX_LOAD_TRANSMISSIONS = 4;
@@ -10,7 +10,7 @@
 
 /** What the sender needs of the engine. */
 export interface OrderTarget {
-  order(order: EngineOrder): Promise<OrderAnswer>;
+  order(order: EngineOrder): Promise<OrderResult>;
 }
 
 /** How an order sender is built. */
@@ -40,8 +40,8 @@
 export class OrderSender {
   private stopped = false;
   private readonly handlers: Record<
-    OrderAnswer['kind'],
-    (answer: OrderAnswer) => Verdict
+    OrderResult['kind'],
+    (answer: OrderResult) => Verdict
   >;
 
   constructor(private readonly options: OrderSenderOptions) {
@@ -146,7 +146,7 @@
     return sent;
   }
 
-  private record(order: EngineOrder, answer: OrderAnswer, count: number): void {
+  private record(order: EngineOrder, answer: OrderResult, count: number): void {
     const {logger, metrics} = this.options;
     metrics.count('agent_orders_total', {
       kind: order.kind,
@@ -168,7 +168,7 @@
    * A number above our newest belongs to another agent beside this engine. One
    * that is ours only says that a barrier overtook this order.
    */
-  private noteStale(answer: OrderAnswer): Verdict {
+  private noteStale(answer: OrderResult): Verdict {
     if (answer.kind !== 'stale-fencing') return 'give-up';
     const {fencing, onSuperseded} = this.options;
     const ownNumber = fencing() ?? 0;
@@ -189,5 +189,5 @@
 interface Sent {
   /** Whether any transmission may have reached the engine. */
   left: boolean;
-  answer: OrderAnswer | undefined;
+  answer: OrderResult | undefined;
 }
--- a/packages/banyanfold-agent/src/engine/streamVerifier.ts
+++ b/packages/banyanfold-agent/src/engine/streamVerifier.ts
@@ -47,7 +47,7 @@
   }
 
   /** Judges the next event as it came. */
-  take(event: EventSourceMessage): VerifiedEvent {
+  verify(event: EventSourceMessage): VerifiedEvent {
     const seq = event.id === undefined ? this.lastSeq + 1 : Number(event.id);
     if (!Number.isInteger(seq)) return {kind: 'gap'};
     if (event.data === DONE) return this.takeEnd(seq);
--- a/packages/banyanfold-agent/src/parts/createAdmissionParts.ts
+++ b/packages/banyanfold-agent/src/parts/createAdmissionParts.ts
@@ -17,7 +17,7 @@
   const registry = new AttemptRegistry({
     clock,
     attemptIdMs: settings.retention.attemptIdMs,
-    maxKeptBytes: settings.retention.totalBytes,
+    maxRetainedBytes: settings.retention.totalBytes,
   });
   return {queue, registry};
 }
--- a/packages/banyanfold-agent/src/parts/createControlParts.ts
+++ b/packages/banyanfold-agent/src/parts/createControlParts.ts
@@ -34,7 +34,7 @@
     runnerRole: () => role.current,
     onReport: report => {
       role.observe(report);
-      queue.pump();
+      queue.dispatchWaiting();
     },
   });
   const proposals = new ProposalHandler({
--- a/packages/banyanfold-agent/src/parts/createDataParts.ts
+++ b/packages/banyanfold-agent/src/parts/createDataParts.ts
@@ -22,15 +22,16 @@
     ...basis,
     orderLateBoundMs: settings.engine.orderLateBoundMs,
   });
-  const isOwnIncarnation = (incarnation: number) => fence.isOwn(incarnation);
+  const isOwnIncarnation = (incarnation: number) =>
+    fence.isOwnIncarnation(incarnation);
   const attemptContext: AttemptContext = {
     ...basis,
     canceller,
     isOwnIncarnation,
     loadHeader: () => JSON.stringify(reporter.digest()),
     kvBytesPerToken: artifact => kvBytesPerTokenOf(config.state, artifact),
-    notePrefix: prefixHash => prefixes.confirm(prefixHash),
-    noteServed: artifact => reporter.noteServed(artifact),
+    recordPrefix: prefixHash => prefixes.confirm(prefixHash),
+    recordServed: artifact => reporter.noteServed(artifact),
   };
   const seals = new AttemptSealer({
     ...basis,
--- a/packages/banyanfold-agent/src/parts/createMemoryParts.ts
+++ b/packages/banyanfold-agent/src/parts/createMemoryParts.ts
@@ -1,6 +1,6 @@
 import type {AgentBasis, Leaving, MemoryParts} from '../agentContext.js';
 import {EngineClient} from '../engine/engineClient.js';
-import {FenceKeeper} from '../engine/fenceKeeper.js';
+import {FencingTokenManager} from '../engine/fencingTokenManager.js';
 import {OrderSender} from '../engine/orderSender.js';
 import {MemoryLedger} from '../memory/memoryLedger.js';
 
@@ -11,7 +11,7 @@
 ): MemoryParts {
   const {settings, clock, logger} = basis;
   const {checksFencing, orderLateBoundMs} = settings.engine;
-  const fence = new FenceKeeper({...basis, vmId: settings.vmId});
+  const fence = new FencingTokenManager({...basis, vmId: settings.vmId});
   const nextOrderId = createOrderIds(settings.vmId, fence);
   const engine = new EngineClient({...settings.engine, clock});
   const ledger = new MemoryLedger({
@@ -38,7 +38,7 @@
 /** Ids that are unique for all time: an incarnation names one process, once. */
 function createOrderIds(
   vmId: string,
-  fence: FenceKeeper,
+  fence: FencingTokenManager,
 ): (artifact: string) => string {
   let count = 0;
   return artifact => `${vmId}/${artifact}#${fence.incarnation}.${++count}`;
