--- a/packages/banyanfold-agent/src/attempts/admissionQueue.ts
+++ b/packages/banyanfold-agent/src/attempts/admissionQueue.ts
@@ -11,33 +11,33 @@
 
 const INITIAL_SERVICE_MS = 500;
 const INITIAL_FIRST_TOKEN_MS = 50;
-/** The class whose wait entries are told: it goes before all others. */
-const BEST_PRIORITY = 0;
-/** Even a full queue is looked at this often. */
-const MAX_PUMP_DELAY_MS = 1_000;
-/** Timers fire a little early; a request is late only after its moment. */
-const PUMP_SLACK_MS = 1;
+/** Entries receive the queue delay of this class, which precedes all others. */
+const MOST_URGENT_PRIORITY = 0;
+/** Longest time between two checks of a queue that isn't empty. */
+const MAX_RECHECK_DELAY_MS = 1_000;
+/** Timers may fire early; a request is late only after its deadline. */
+const RECHECK_SLACK_MS = 1;
 
-/** A request that asks for a slot. */
+/** A request for one of the engine's slots. */
 export interface AdmissionTicket {
   attemptId: string;
   artifact: string;
   priority: number;
   firstTokenBudgetMs: number;
   kvBytes: number;
-  /** Called once, when the slot and the KV memory are its own. */
+  /** Called once, after the slot and the KV memory have been reserved. */
   start(): void;
-  /** Called once, at the moment it is given up. */
+  /** Called once, if the request is refused instead of started. */
   refuse(refusal: Refusal): void;
 }
 
-/** The KV memory that slots are given against. */
+/** The KV cache memory that the queue reserves for each request it starts. */
 export interface KvMemory {
   kvFreeBytes(): number;
   reserveKv(requestKey: string, bytes: number): void;
 }
 
-/** How an admission queue is built. */
+/** Dependencies and limits of an `AdmissionQueue`. */
 export interface AdmissionQueueOptions {
   clock: Clock;
   logger: Logger;
@@ -47,27 +47,27 @@
   maxQueued: number;
 }
 
-type Waiting = QueuedRequest & {
+type WaitingRequest = QueuedRequest & {
   firstTokenMs: number;
   ticket: AdmissionTicket;
 };
 
 /**
- * Gives out the engine's slots. The decisions are those of
- * `@banyanfold/decisions`; this class carries them out at the right moments:
- * when a slot gets free, and when a waiting request becomes too late, which is
- * refused then and not later.
+ * Admits requests to the engine's slots. `@banyanfold/decisions` makes the
+ * decisions; this class applies them when a slot becomes free and at the time
+ * when a waiting request can no longer meet its first-token deadline. Such a
+ * request is refused immediately.
  */
 export class AdmissionQueue {
-  private readonly waiting = new Map<string, Waiting>();
+  private readonly waiting = new Map<string, WaitingRequest>();
   private readonly running = new Set<string>();
   private readonly serviceTime: SmoothedTime;
   /**
-   * By class. A draft takes many times a short answer's time; with one figure
-   * for both, a runner that has served drafts refuses short answers while it
-   * idles.
+   * Time to first token for each priority class. A draft takes many times as
+   * long as a short answer. With one estimate for both, an idle runner that has
+   * served drafts would refuse short answers.
    */
-  private readonly firstToken = new Map<number, SmoothedTime>();
+  private readonly firstTokenByPriority = new Map<number, SmoothedTime>();
   private dispatchCount = 0;
   private timer: Timer | undefined;
 
@@ -84,10 +84,10 @@
     return this.waiting.size;
   }
 
-  /** Estimated wait to a first token for a class 0 request that came now. */
+  /** Estimated time to first token of a class 0 request submitted now. */
   queueDelayMs(): number {
     const request = {
-      priority: BEST_PRIORITY,
+      priority: MOST_URGENT_PRIORITY,
       firstTokenBudgetMs: Number.POSITIVE_INFINITY,
       kvBytes: 0,
     };
@@ -95,11 +95,11 @@
     return decideAdmission(view, request, this.nowMs()).estimatedDelayMs;
   }
 
-  /** Runs, queues or refuses a request, and logs which. */
+  /** Starts, queues or refuses a request, and logs the decision. */
   submit(ticket: AdmissionTicket): void {
     const nowMs = this.nowMs();
     const {attemptId, priority, firstTokenBudgetMs, kvBytes} = ticket;
-    const firstTokenMs = this.firstTokenMsOf(priority);
+    const firstTokenMs = this.expectedFirstTokenMs(priority);
     const request = {priority, firstTokenBudgetMs, kvBytes, firstTokenMs};
     const decision = decideAdmission(this.view(), request, nowMs);
     const {logger, metrics} = this.options;
@@ -130,40 +130,40 @@
     this.dispatchWaiting();
   }
 
-  /** Takes a waiting request out without an answer. */
+  /** Removes a waiting request; neither of its callbacks is called. */
   remove(attemptId: string): void {
     this.waiting.delete(attemptId);
     this.dispatchWaiting();
   }
 
-  /** Learns how long a request of this class took to its first token. */
+  /** Adds a measured time to first token to the estimate of this class. */
   recordFirstToken(sampleMs: number, priority: number): void {
-    let smoothed = this.firstToken.get(priority);
+    let smoothed = this.firstTokenByPriority.get(priority);
     if (!smoothed) {
       smoothed = new SmoothedTime(this.options.clock, INITIAL_FIRST_TOKEN_MS);
-      this.firstToken.set(priority, smoothed);
+      this.firstTokenByPriority.set(priority, smoothed);
     }
     smoothed.add(sampleMs);
   }
 
-  /** A request has left its slot. */
+  /** Frees the slot of a request that has ended. */
   release(attemptId: string, serviceTimeMs?: number): void {
     if (!this.running.delete(attemptId)) return;
     if (serviceTimeMs !== undefined) this.serviceTime.add(serviceTimeMs);
     this.dispatchWaiting();
   }
 
-  /** Looks at the queue again: memory or slots may have become free. */
+  /** Starts waiting requests while free slots and KV memory allow it. */
   dispatchWaiting(): void {
-    while (this.pumpOnce());
-    this.schedulePump();
+    while (this.dispatchNext());
+    this.scheduleRecheck();
   }
 
   stop(): void {
     this.timer?.cancel();
   }
 
-  private pumpOnce(): boolean {
+  private dispatchNext(): boolean {
     if (this.waiting.size === 0) return false;
     const hasSlot = this.running.size < this.options.maxRunning;
     const kvFreeBytes = hasSlot ? this.options.memory.kvFreeBytes() : -1;
@@ -172,7 +172,7 @@
       this.nowMs(),
       {
         ...DEFAULT_QUEUE_OPTIONS,
-        firstTokenMs: this.firstTokenMsOf(BEST_PRIORITY),
+        firstTokenMs: this.expectedFirstTokenMs(MOST_URGENT_PRIORITY),
         dispatchIntervalMs:
           this.serviceTime.currentMs() / this.options.maxRunning,
         kvFreeBytes,
@@ -220,23 +220,23 @@
     waiting.ticket.refuse({
       code: 'too-late',
       outcome: 'not-run',
-      message: 'its first token would come after its target',
+      message: 'the first token would miss its latency target',
       retryAfterMs,
     });
   }
 
-  private schedulePump(): void {
+  private scheduleRecheck(): void {
     this.timer?.cancel();
     this.timer = undefined;
     if (this.waiting.size === 0) return;
-    let dueMs = Number.POSITIVE_INFINITY;
+    let nextRecheckMs = Number.POSITIVE_INFINITY;
     for (const {deadlineMs, firstTokenMs} of this.waiting.values()) {
-      dueMs = Math.min(dueMs, deadlineMs - firstTokenMs);
+      nextRecheckMs = Math.min(nextRecheckMs, deadlineMs - firstTokenMs);
     }
-    const delayMs = dueMs - this.nowMs() + PUMP_SLACK_MS;
+    const delayMs = nextRecheckMs - this.nowMs() + RECHECK_SLACK_MS;
     const boundedMs = Math.min(
-      Math.max(delayMs, PUMP_SLACK_MS),
-      MAX_PUMP_DELAY_MS,
+      Math.max(delayMs, RECHECK_SLACK_MS),
+      MAX_RECHECK_DELAY_MS,
     );
     this.timer = this.options.clock.setTimer(boundedMs, () =>
       this.dispatchWaiting(),
@@ -251,12 +251,12 @@
       maxQueued: this.options.maxQueued,
       kvFreeBytes: this.options.memory.kvFreeBytes(),
       serviceTimeMs: this.serviceTime.currentMs(),
-      firstTokenMs: this.firstTokenMsOf(BEST_PRIORITY),
+      firstTokenMs: this.expectedFirstTokenMs(MOST_URGENT_PRIORITY),
     };
   }
 
-  private firstTokenMsOf(priority: number): number {
-    const smoothed = this.firstToken.get(priority);
+  private expectedFirstTokenMs(priority: number): number {
+    const smoothed = this.firstTokenByPriority.get(priority);
     return smoothed?.currentMs() ?? INITIAL_FIRST_TOKEN_MS;
   }
 
--- a/packages/banyanfold-agent/src/attempts/attemptContext.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptContext.ts
@@ -6,7 +6,7 @@
 import type {AttemptRegistry} from './attemptRegistry.js';
 import type {EngineCanceller} from './engineCanceller.js';
 
-/** What the parts of the data path share. */
+/** Components and functions that the request path shares. */
 export interface AttemptContext {
   settings: AgentSettings;
   clock: Clock;
@@ -19,11 +19,11 @@
   canceller: EngineCanceller;
   isOwnIncarnation(incarnation: number): boolean;
   isLeaving(): boolean;
-  /** Compact JSON of the load digest, for the piggyback header. */
+  /** Load digest as compact JSON, sent in a header of each response. */
   loadHeader(): string;
-  /** What the configuration says of a model, if it is known. */
+  /** The configured KV cache size per token, if the artifact is configured. */
   kvBytesPerToken(artifact: string): number | undefined;
-  /** A request with this prefix has been through the engine. */
+  /** Records that the engine has processed a request with this prefix. */
   recordPrefix(prefixHash: string): void;
   recordServed(artifact: string): void;
 }
--- a/packages/banyanfold-agent/src/attempts/attemptHeaders.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptHeaders.ts
@@ -5,7 +5,7 @@
 
 const SERVICES_PREFIX = 'services/';
 
-const wholeNumber = z.coerce.number().int().nonnegative();
+const nonNegativeInteger = z.coerce.number().int().nonnegative();
 const budgetMs = z.coerce.number().min(0).default(Number.POSITIVE_INFINITY);
 
 const attemptHeadersSchema = z.object({
@@ -13,17 +13,17 @@
   requestId: z.string().min(1).max(128),
   incarnation: z.coerce.number(),
   artifact: z.string().default(''),
-  priority: wholeNumber.default(5),
+  priority: nonNegativeInteger.default(5),
   firstTokenBudgetMs: budgetMs,
   wholeBudgetMs: budgetMs,
-  promptTokens: wholeNumber.default(0),
-  maxTokens: wholeNumber.default(0),
+  promptTokens: nonNegativeInteger.default(0),
+  maxTokens: nonNegativeInteger.default(0),
   prefixHash: z.string().default(''),
   kvBytesPerToken: z.coerce.number().int().positive().optional(),
   idempotencyKey: z.string().optional(),
 });
 
-const HEADER_OF_FIELD = {
+const HEADER_BY_FIELD = {
   attemptId: HEADERS.attemptId,
   requestId: HEADERS.requestId,
   incarnation: HEADERS.incarnation,
@@ -38,38 +38,38 @@
   idempotencyKey: HEADERS.idempotencyKey,
 } as const satisfies Record<keyof AttemptHeaders, string>;
 
-/** What an entry says about an attempt. */
+/** Headers that an entry sends with an attempt. */
 export type AttemptHeaders = z.infer<typeof attemptHeadersSchema>;
 
-/** A header that is missing or wrong, of an attempt that is refused for it. */
+/** Describes the missing or invalid header for which an attempt is refused. */
 export interface HeaderError {
-  /** The attempt's id as it was sent, for the echo; empty when there is none. */
+  /** The attempt id as received, echoed in the refusal; empty if missing. */
   attemptId: string;
   message: string;
 }
 
-/** Reads an attempt's headers, or says which one is missing or wrong. */
+/** Parses an attempt's headers; the error names the first invalid one. */
 export function parseAttemptHeaders(
   headers: IncomingHttpHeaders,
 ): Result<AttemptHeaders, HeaderError> {
-  const fields = Object.entries(HEADER_OF_FIELD).map(([field, name]) => [
+  const fields = Object.entries(HEADER_BY_FIELD).map(([field, name]) => [
     field,
     headers[name],
   ]);
-  const checked = attemptHeadersSchema.safeParse(Object.fromEntries(fields));
-  if (checked.success) return ok(checked.data);
-  const [issue] = checked.error.issues;
+  const parsed = attemptHeadersSchema.safeParse(Object.fromEntries(fields));
+  if (parsed.success) return ok(parsed.data);
+  const [issue] = parsed.error.issues;
   const field = issue?.path[0] as keyof AttemptHeaders;
   return err({
     attemptId: String(headers[HEADERS.attemptId] ?? ''),
-    message: `header ${HEADER_OF_FIELD[field]}: ${issue?.message}`,
+    message: `header ${HEADER_BY_FIELD[field]}: ${issue?.message}`,
   });
 }
 
 /**
- * The request id that the engine sees. It is made of ids that the entry sends
- * again when it resumes, so that a restarted agent finds the stream; and it has
- * the attempt in it, so that two attempts of one request can't be mixed up.
+ * Returns the request id that the engine receives. It consists of ids that the
+ * entry sends again when it resumes, so a restarted agent can find the stream.
+ * It contains the attempt id to keep two attempts of one request apart.
  *
  * @example engineRequestId({requestId: 'r1', attemptId: 'a1'}) // 'r1.a1'
  */
@@ -79,7 +79,7 @@
   return `${ids.requestId}.${ids.attemptId}`;
 }
 
-/** Splits `services/{service}/{path…}`; undefined for a model's path. */
+/** Splits `services/{service}/{path…}`; undefined for a model path. */
 export function parseServicePath(
   path: string,
 ): {service: string; path: string} | undefined {
--- a/packages/banyanfold-agent/src/attempts/attemptRegistry.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptRegistry.ts
@@ -2,54 +2,55 @@
 import type {SealResult} from '@banyanfold/protocol';
 import type {ResponseBuffer} from './responseBuffer.js';
 
-/** How far an attempt has come. */
+/** The state of an attempt in its lifecycle. */
 export type AttemptPhase = 'waiting' | 'dispatched' | 'finished';
 
 interface AttemptEntry {
   phase: AttemptPhase;
-  /** Takes a waiting attempt out of its queue, or stops a running one. */
+  /** Removes a waiting attempt from its queue or stops a running one. */
   stop(): void;
-  answer: ResponseBuffer | undefined;
-  /** What the answer takes, once it is finished. */
-  keptBytes: number;
+  response: ResponseBuffer | undefined;
+  /** Size of the retained response; 0 until the attempt has finished. */
+  retainedBytes: number;
 }
 
-/** How a registry is built. */
+/** Options of an `AttemptRegistry`. */
 export interface AttemptRegistryOptions {
   clock: Clock;
   /**
-   * How long a sealed or finished id is known. A sealed attempt can still
-   * arrive as long as the network may hold its bytes: a sender gives up on
-   * unacknowledged data after some 15 minutes by the kernel's defaults, so 20
-   * minutes are enough. Later ones, of an earlier incarnation, are refused for
-   * that alone.
+   * How long the id of a sealed or finished attempt is remembered. A sealed
+   * attempt can still arrive while the network may hold its bytes. With the
+   * kernel's defaults a sender abandons unacknowledged data after about 15
+   * minutes, so 20 minutes are enough. Attempts that name an earlier
+   * incarnation are refused for that reason alone.
    */
   attemptIdMs: number;
-  /** Finished answers together keep no more; the oldest go first. */
+  /** Limit for all finished responses; the oldest are dropped first. */
   maxRetainedBytes: number;
 }
 
 /**
- * Knows each attempt of this process by its id, so that "not run" is true.
+ * Tracks the attempts of this process by id, so that "not run" can be reported
+ * reliably.
  *
- * An entry whose attempt got lost on the way wants to tell its caller that
- * nothing ran. The attempt may still arrive afterwards; if it ran then, the
- * caller would be told a lie and might send the request twice. Sealing leaves
- * a tombstone that such an attempt meets.
+ * An entry whose attempt was lost in transit needs to report to its caller that
+ * nothing ran. The attempt may still arrive afterwards. If it ran then, the
+ * report would be false and the caller might send the request twice. Sealing
+ * leaves a tombstone, and an attempt that has one is refused on arrival.
  */
 export class AttemptRegistry {
   private readonly attempts = new Map<string, AttemptEntry>();
-  /** Until when a sealed or refused id must not run. */
+  /** Expiry times of the ids that were sealed or refused and must not run. */
   private readonly tombstones = new Map<string, number>();
-  /** Until when an id is known as finished. */
+  /** Expiry times of finished ids whose response has been dropped. */
   private readonly finished = new Map<string, number>();
-  private keptBytes = 0;
+  private retainedBytes = 0;
 
   constructor(private readonly options: AttemptRegistryOptions) {}
 
-  /** Takes in a new attempt, unless its id was sealed or seen before. */
+  /** Registers a new attempt, unless its id was sealed or seen before. */
   begin(attemptId: string): 'begun' | 'sealed' | 'duplicate' {
-    this.sweep();
+    this.removeExpired();
     if (this.tombstones.has(attemptId)) return 'sealed';
     if (this.attempts.has(attemptId) || this.finished.has(attemptId)) {
       return 'duplicate';
@@ -57,21 +58,22 @@
     this.attempts.set(attemptId, {
       phase: 'waiting',
       stop: () => {},
-      answer: undefined,
-      keptBytes: 0,
+      response: undefined,
+      retainedBytes: 0,
     });
     return 'begun';
   }
 
-  /** Says how to stop the attempt when it is sealed, in its present phase. */
+  /** Sets how a seal stops the attempt in its current phase. */
   onSeal(attemptId: string, stop: () => void): void {
     const entry = this.attempts.get(attemptId);
     if (entry) entry.stop = stop;
   }
 
   /**
-   * Marks the attempt as running, in the same step of the loop as the sending,
-   * so that no seal can come between. False when it was sealed before.
+   * Marks the attempt as running. Must be called in the same event-loop step in
+   * which the request is sent, so that no seal can intervene. Returns false if
+   * the attempt isn't waiting any more, for example because it was sealed.
    */
   dispatch(attemptId: string): boolean {
     const entry = this.attempts.get(attemptId);
@@ -85,54 +87,54 @@
     return this.attempts.get(attemptId)?.phase === 'waiting';
   }
 
-  /** Whether it is certain that the attempt never ran and never will. */
+  /** Whether the attempt was sealed or refused: it never ran and never will. */
   isSealed(attemptId: string): boolean {
     return this.tombstones.has(attemptId);
   }
 
-  /** Keeps the answer, for an entry that comes back for it. */
-  retainResponse(attemptId: string, answer: ResponseBuffer): void {
+  /** Retains the response for an entry that resumes. */
+  retainResponse(attemptId: string, response: ResponseBuffer): void {
     const entry = this.attempts.get(attemptId);
-    if (entry) entry.answer = answer;
+    if (entry) entry.response = response;
   }
 
   responseOf(attemptId: string): ResponseBuffer | undefined {
-    return this.attempts.get(attemptId)?.answer;
+    return this.attempts.get(attemptId)?.response;
   }
 
-  /** The attempt was refused before it was sent; it must not run later. */
+  /** Records that an attempt was refused unsent; it must not run later. */
   refuse(attemptId: string): void {
     this.attempts.delete(attemptId);
-    this.tombstones.set(attemptId, this.expiryMs());
+    this.tombstones.set(attemptId, this.expiresAtMs());
   }
 
   finish(attemptId: string): void {
     const entry = this.attempts.get(attemptId);
     if (!entry || entry.phase === 'finished') return;
     entry.phase = 'finished';
-    entry.keptBytes = entry.answer?.byteLength() ?? 0;
-    this.keptBytes += entry.keptBytes;
+    entry.retainedBytes = entry.response?.byteLength() ?? 0;
+    this.retainedBytes += entry.retainedBytes;
     for (const [oldest, {phase}] of this.attempts) {
-      if (this.keptBytes <= this.options.maxRetainedBytes) return;
+      if (this.retainedBytes <= this.options.maxRetainedBytes) return;
       if (phase === 'finished') this.dropResponse(oldest);
     }
   }
 
-  /** Drops the kept answer; the id stays known as finished. */
+  /** Drops the retained response; the id stays registered as finished. */
   dropResponse(attemptId: string): void {
     const entry = this.attempts.get(attemptId);
     if (!entry) return;
-    this.keptBytes -= entry.keptBytes;
+    this.retainedBytes -= entry.retainedBytes;
     this.attempts.delete(attemptId);
-    this.finished.set(attemptId, this.expiryMs());
+    this.finished.set(attemptId, this.expiresAtMs());
   }
 
   /**
-   * Makes sure that an attempt which hasn't started never will, and stops one
-   * that runs.
+   * Prevents an attempt that hasn't started from running, and stops a running
+   * one.
    */
   seal(attemptId: string): SealResult['state'] {
-    this.sweep();
+    this.removeExpired();
     const entry = this.attempts.get(attemptId);
     if (entry?.phase === 'dispatched') {
       entry.stop();
@@ -145,7 +147,7 @@
     return 'never-started';
   }
 
-  /** Whether this process has met the attempt, in any phase. */
+  /** Whether this process has registered or sealed the attempt. */
   has(attemptId: string): boolean {
     return (
       this.attempts.has(attemptId) ||
@@ -162,23 +164,23 @@
     return open;
   }
 
-  /** Attempts that run now. */
+  /** Ids of the attempts that are running. */
   dispatchedIds(): string[] {
     return [...this.attempts]
       .filter(([, {phase}]) => phase === 'dispatched')
       .map(([attemptId]) => attemptId);
   }
 
-  private expiryMs(): number {
+  private expiresAtMs(): number {
     return this.options.clock.nowMs() + this.options.attemptIdMs;
   }
 
-  /** Both maps are in the order of expiry, so the sweep stops early. */
-  private sweep(): void {
+  /** Removes expired ids; both maps are in order of expiry. */
+  private removeExpired(): void {
     const nowMs = this.options.clock.nowMs();
     for (const map of [this.tombstones, this.finished]) {
-      for (const [attemptId, expiresMs] of map) {
-        if (expiresMs > nowMs) break;
+      for (const [attemptId, expiresAtMs] of map) {
+        if (expiresAtMs > nowMs) break;
         map.delete(attemptId);
       }
     }
--- a/packages/banyanfold-agent/src/attempts/attemptServer.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptServer.ts
@@ -24,7 +24,7 @@
   res: ServerResponse;
 }
 
-/** Takes in attempts: checks, admits, and sends them on. */
+/** Receives attempts, checks and admits them, and forwards them. */
 export class AttemptServer {
   private serviceCalls = 0;
 
@@ -39,109 +39,124 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const read = parseAttemptHeaders(req.headers);
-    if (read.isErr()) {
-      const {attemptId, message} = read.error;
+    const parsedHeaders = parseAttemptHeaders(req.headers);
+    if (parsedHeaders.isErr()) {
+      const {attemptId, message} = parsedHeaders.error;
       this.refuse(res, attemptId, notRun('bad-request', message));
       return;
     }
-    const headers = read.value;
+    const headers = parsedHeaders.value;
     const attempt: Attempt = {path, headers, req, res};
-    const refusal = this.check(attempt);
+    const refusal = this.findRefusal(attempt);
     if (refusal) {
       this.refuse(res, headers.attemptId, refusal);
       return;
     }
-    this.watchWaiting(attempt);
+    this.watchWaitingAttempt(attempt);
     const body = await readBody(req, this.context.settings.maxBodyBytes);
-    // It may have been sealed, or its caller gone, while the body came in.
+    // It may have been sealed or disconnected while its body was received.
     if (!this.context.registry.isWaiting(headers.attemptId)) return;
     if (body === undefined) {
-      this.giveUp(attempt, notRun('body-too-large', 'the body is too large'));
+      this.reject(attempt, notRun('body-too-large', 'the body is too large'));
       return;
     }
     const service = parseServicePath(path);
     if (service) await this.callService(attempt, service, body);
-    else this.admit(attempt, body);
+    else this.enqueue(attempt, body);
   }
 
-  /** The safeguards that an attempt meets first, in their order. */
-  private check({path, headers}: Attempt): Refusal | undefined {
+  /** Applies the checks in order; registers the attempt if all others pass. */
+  private findRefusal({path, headers}: Attempt): Refusal | undefined {
     const {context} = this;
     const {attemptId, incarnation, artifact} = headers;
     if (!context.isOwnIncarnation(incarnation)) {
-      return notRun('wrong-incarnation', 'meant for an earlier process here');
+      return notRun(
+        'wrong-incarnation',
+        'the attempt names another incarnation of this agent',
+      );
     }
     if (context.registry.isSealed(attemptId)) {
-      return notRun('sealed', 'the attempt was sealed before it came');
+      return notRun('sealed', 'the attempt was sealed before it arrived');
     }
     if (context.isLeaving()) {
-      return notRun('leaving', 'this server leaves', LEAVING_RETRY_AFTER_MS);
+      return notRun(
+        'leaving',
+        'this backend server is draining',
+        LEAVING_RETRY_AFTER_MS,
+      );
     }
-    const isModel = MODEL_PATHS.has(path);
-    if (!isModel && !parseServicePath(path)) {
+    const isModelPath = MODEL_PATHS.has(path);
+    if (!isModelPath && !parseServicePath(path)) {
       return notRun('bad-request', 'no such path');
     }
-    if (isModel && !context.ledger.canServe(artifact)) {
-      const message = `${artifact} is not held here`;
+    if (isModelPath && !context.ledger.canServe(artifact)) {
+      const message = `${artifact} is not available on this backend server`;
       return notRun('not-held', message, NOT_HELD_RETRY_AFTER_MS);
     }
     if (context.registry.begin(attemptId) === 'duplicate') {
-      const message = 'this attempt came before; its outcome is its own';
+      const message =
+        'an attempt with this id was already received and may have run';
       return {code: 'duplicate-attempt', outcome: 'unknown', message};
     }
     return undefined;
   }
 
-  /** Ends a waiting attempt that is sealed or whose caller goes. */
-  private watchWaiting(attempt: Attempt): void {
+  /** Refuses a waiting attempt once it is sealed; a disconnect seals it. */
+  private watchWaitingAttempt(attempt: Attempt): void {
     const {registry} = this.context;
     const {attemptId} = attempt.headers;
     registry.onSeal(attemptId, () => {
-      this.refuse(attempt.res, attemptId, notRun('sealed', 'sealed'));
+      this.refuse(
+        attempt.res,
+        attemptId,
+        notRun('sealed', 'the attempt was sealed'),
+      );
     });
     attempt.res.on('close', () => {
       if (registry.isWaiting(attemptId)) registry.seal(attemptId);
     });
   }
 
-  private admit(attempt: Attempt, rawBody: Buffer): void {
+  private enqueue(attempt: Attempt, rawBody: Buffer): void {
     const {context} = this;
     const {headers, res, path} = attempt;
     const {attemptId, artifact, priority, firstTokenBudgetMs} = headers;
     const parsed = parseJsonObject(rawBody);
     if (!parsed) {
-      this.giveUp(attempt, notRun('bad-request', 'the body is no JSON object'));
+      this.reject(
+        attempt,
+        notRun('bad-request', 'the body is not a JSON object'),
+      );
       return;
     }
     const body = {...parsed, model: artifact};
     context.ledger.beginUse(artifact);
-    const leave = () => context.ledger.endUse(artifact);
+    const endUse = () => context.ledger.endUse(artifact);
     context.registry.onSeal(attemptId, () => {
-      leave();
+      endUse();
       context.queue.remove(attemptId);
-      this.refuse(res, attemptId, notRun('sealed', 'sealed while it waited'));
+      this.refuse(res, attemptId, notRun('sealed', 'sealed while queued'));
     });
     context.queue.submit({
       attemptId,
       artifact,
       priority,
       firstTokenBudgetMs,
-      kvBytes: this.kvBytes(headers),
+      kvBytes: this.requiredKvBytes(headers),
       refuse: refusal => {
-        leave();
-        this.giveUp(attempt, refusal);
+        endUse();
+        this.reject(attempt, refusal);
       },
       start: () => {
         context.registry.dispatch(attemptId);
-        this.run(new ModelAttempt(context, {path, headers, body, res}));
+        this.runAttempt(new ModelAttempt(context, {path, headers, body, res}));
       },
     });
   }
 
-  private run(attempt: ModelAttempt): void {
+  private runAttempt(attempt: ModelAttempt): void {
     attempt.run().catch((error: unknown) => {
-      // Without this a fault of ours would keep the slot taken for good.
+      // Otherwise an internal error would occupy the slot forever.
       this.context.logger.error('attempt-failed', {error: String(error)});
       return attempt.finishUnknown(ENGINE_RESPONSE_LOST);
     });
@@ -154,18 +169,27 @@
   ): Promise<void> {
     const {settings, registry} = this.context;
     const {headers, req, res} = attempt;
-    const target = settings.services.find(({name}) => name === service);
-    if (!target) {
-      this.giveUp(attempt, notRun('unknown-service', `no ${service} here`));
+    const targetService = settings.services.find(({name}) => name === service);
+    if (!targetService) {
+      this.reject(
+        attempt,
+        notRun('unknown-service', `service ${service} is not configured`),
+      );
       return;
     }
-    const url = serviceUrl(target.url, path);
+    const url = serviceUrl(targetService.url, path);
     if (!url) {
-      this.giveUp(attempt, notRun('bad-request', 'no path of the service'));
+      this.reject(
+        attempt,
+        notRun('bad-request', 'the path is outside the service'),
+      );
       return;
     }
     if (this.serviceCalls >= settings.maxServiceCalls) {
-      this.giveUp(attempt, notRun('busy', 'too many calls are open', 1_000));
+      this.reject(
+        attempt,
+        notRun('busy', 'too many service calls are in flight', 1_000),
+      );
       return;
     }
     registry.dispatch(headers.attemptId);
@@ -180,7 +204,7 @@
     this.serviceCalls--;
   }
 
-  private kvBytes(headers: AttemptHeaders): number {
+  private requiredKvBytes(headers: AttemptHeaders): number {
     const {settings, kvBytesPerToken} = this.context;
     const perToken =
       headers.kvBytesPerToken ??
@@ -189,8 +213,8 @@
     return perToken * (headers.promptTokens + headers.maxTokens);
   }
 
-  /** The attempt is in the registry, and ends before it was sent. */
-  private giveUp(attempt: Attempt, refusal: Refusal): void {
+  /** Refuses a registered attempt that has not been sent. */
+  private reject(attempt: Attempt, refusal: Refusal): void {
     const {attemptId} = attempt.headers;
     this.context.registry.refuse(attemptId);
     this.refuse(attempt.res, attemptId, refusal);
--- a/packages/banyanfold-agent/src/attempts/engineCanceller.ts
+++ b/packages/banyanfold-agent/src/attempts/engineCanceller.ts
@@ -3,26 +3,26 @@
 import type {EngineClient} from '../engine/engineClient.js';
 import type {CancelState} from '../engine/engineSchemas.js';
 
-const RETRY_CAP_MS = 2_000;
+const MAX_RETRY_DELAY_MS = 2_000;
 
-/** How a canceller is built. */
+/** Options of an `EngineCanceller`. */
 export interface EngineCancellerOptions {
   engine: Pick<EngineClient, 'cancel'>;
   clock: Clock;
   logger: Logger;
   random: () => number;
-  /** After this long a request that was sent can't arrive any more. */
+  /** A request that was sent can't arrive at the engine later than this. */
   orderLateBoundMs: number;
 }
 
 /**
- * Ends requests at the engine, and says when their KV cache is free.
+ * Cancels requests at the engine and reports when their KV cache is free.
  *
- * A cancel gets lost like anything else. Were the memory counted as free then,
- * the next requests would be admitted into memory that is in use. So it goes
- * again until it is answered. An engine that doesn't know a request which it
- * never answered may get it yet, so the memory of that stays counted until it
- * can't be under way any more.
+ * A cancel can be lost. If its memory were then counted as free, new requests
+ * would be admitted into memory that is still in use, so a cancel is retried
+ * until the engine responds. A request that the engine never responded to and
+ * doesn't know may still be in transit, so its memory stays reserved until it
+ * can no longer arrive.
  */
 export class EngineCanceller {
   private stopped = false;
@@ -33,14 +33,14 @@
     this.stopped = true;
   }
 
-  /** Cancels; resolves to the engine's answer, or undefined when stopped. */
+  /** Retries until the engine responds; undefined if stopped before. */
   async cancel(engineRequestId: string): Promise<CancelState | undefined> {
     const {engine, clock, random, logger} = this.options;
-    const backoff = new Backoff({capMs: RETRY_CAP_MS, random});
+    const backoff = new Backoff({capMs: MAX_RETRY_DELAY_MS, random});
     while (!this.stopped) {
-      const answer = await engine.cancel(engineRequestId);
-      if (answer.isOk()) {
-        const state = answer.value;
+      const result = await engine.cancel(engineRequestId);
+      if (result.isOk()) {
+        const state = result.value;
         logger.info('cancel', {engineRequest: engineRequestId, state});
         return state;
       }
@@ -49,7 +49,7 @@
     return undefined;
   }
 
-  /** Cancels again after the time in which the request may still arrive. */
+  /** Cancels again once the request can no longer arrive at the engine. */
   async cancelAfterLateBound(engineRequestId: string): Promise<void> {
     await sleep(this.options.clock, this.options.orderLateBoundMs);
     await this.cancel(engineRequestId);
--- a/packages/banyanfold-agent/src/attempts/engineRejection.ts
+++ b/packages/banyanfold-agent/src/attempts/engineRejection.ts
@@ -5,10 +5,10 @@
 const RETRY_AFTER_MS = 1_000;
 
 /**
- * Statuses by which an engine says that it did not take the request. After any
+ * Statuses with which an engine rejects a request without running it. After any
  * other error status the request may have run.
  */
-const NOT_RUN_CODE_OF_STATUS: Record<number, Refusal['code']> = {
+const NOT_RUN_CODE_BY_STATUS: Record<number, Refusal['code']> = {
   400: 'engine-rejected',
   404: 'not-held',
   413: 'engine-rejected',
@@ -16,20 +16,21 @@
   429: 'busy',
 };
 
-/** What an error status of the engine means for the caller. */
+/** Converts an error response of the engine into a refusal. */
 export async function readEngineRefusal(
   response: EngineResponse,
 ): Promise<Refusal> {
   const {statusCode} = response;
   const text = await response.body.text().catch(() => '');
   const message =
-    text.slice(0, MAX_MESSAGE_CHARS) || `the engine answered ${statusCode}`;
-  const code = NOT_RUN_CODE_OF_STATUS[statusCode];
+    text.slice(0, MAX_MESSAGE_CHARS) ||
+    `the engine responded with status ${statusCode}`;
+  const code = NOT_RUN_CODE_BY_STATUS[statusCode];
   if (!code) return {code: 'engine-failed', outcome: 'unknown', message};
   return {code, outcome: 'not-run', message, retryAfterMs: RETRY_AFTER_MS};
 }
 
-/** Nothing left this process. */
+/** The refusal for a request that was not sent: it was never run. */
 export function engineUnreachable(message: string): Refusal {
   return {
     code: 'engine-unreachable',
@@ -42,5 +43,5 @@
 export const ENGINE_RESPONSE_LOST: Refusal = {
   code: 'answer-lost',
   outcome: 'unknown',
-  message: "the engine's answer was lost or is not this request's",
+  message: "the engine's response was lost or belongs to another request",
 };
--- a/packages/banyanfold-agent/src/attempts/engineStreamReader.ts
+++ b/packages/banyanfold-agent/src/attempts/engineStreamReader.ts
@@ -4,19 +4,19 @@
 import {StreamVerifier, type VerifiedEvent} from '../engine/streamVerifier.js';
 
 const OK = 200;
-/** One event longer than this is no event. */
+/** A stream with an event longer than this fails. */
 const MAX_EVENT_CHARS = 4 * 1024 * 1024;
 
-/** Where the events of one stream go. */
+/** Receives the events of one stream. */
 export interface EventSink {
   append(seq: number, data: string): void;
-  /** Whether reading should wait: the reader is slower than the engine. */
+  /** Whether to pause: the sink's reader is slower than the engine. */
   isFull(): boolean;
-  /** Resolves when it isn't full any more. */
+  /** Resolves once the sink isn't full. */
   writable(): Promise<void>;
 }
 
-/** How a stream is read. */
+/** Options of an `EngineStreamReader`. */
 export interface EngineStreamReaderOptions {
   engine: Pick<EngineClient, 'resume'>;
   clock: Clock;
@@ -29,24 +29,24 @@
   signal: AbortSignal;
   maxResumes: number;
   retryDelayMs: number;
-  /** The number of the last event that the reader has already. */
+  /** Sequence number of the last event that the sink's reader already has. */
   startSeq?: number;
   onFirstEvent?(): void;
 }
 
-/** Why one connection to the engine gave no more. */
+/** Why reading from one connection to the engine ended. */
 type ReadEnd = 'complete' | 'broken' | 'failed';
 
 /**
- * Reads one stream from the engine to its true end.
+ * Reads one stream from the engine to its end marker.
  *
- * A connection to the engine can be cut, end cleanly in the middle, or skip an
- * event. Whatever the kind, the stream is asked for again after the last good
- * event; only `[DONE]` in its place makes it complete.
+ * A connection to the engine can break, end cleanly before the end of the
+ * stream, or skip an event. In each case the stream is resumed after the last
+ * valid event. Only `[DONE]` at the expected position completes it.
  */
 export class EngineStreamReader {
   private readonly verifier: StreamVerifier;
-  private sawEvent = false;
+  private hasForwardedEvent = false;
 
   constructor(private readonly options: EngineStreamReaderOptions) {
     this.verifier = new StreamVerifier({
@@ -56,16 +56,16 @@
     });
   }
 
-  /** Resolves to whether the whole stream went to the sink. */
-  async run(first: EngineResponse | undefined): Promise<boolean> {
-    let response = first;
+  /** Resolves to whether the complete stream was written to the sink. */
+  async run(firstResponse: EngineResponse | undefined): Promise<boolean> {
+    let response = firstResponse;
     for (let resumes = 0; ; resumes++) {
-      const end = response ? await this.read(response) : 'broken';
+      const end = response ? await this.readResponse(response) : 'broken';
       if (end === 'complete') return true;
       if (end === 'failed' || this.options.signal.aborted) return false;
       if (resumes >= this.options.maxResumes) return false;
-      // The first resume goes at once: the reader waits.
-      if (resumes > 0) await this.pause(resumes);
+      // The first resume is not delayed, because the reader is waiting.
+      if (resumes > 0) await this.delayResume(resumes);
       response = await this.resume();
       if (response?.statusCode === 404) return false;
     }
@@ -74,36 +74,36 @@
   private async resume(): Promise<EngineResponse | undefined> {
     const {engine, engineRequestId, signal, logger, metrics} = this.options;
     const afterSeq = this.verifier.lastSeq;
-    const answer = await engine.resume(engineRequestId, afterSeq, signal);
-    const status = answer.isOk() ? answer.value.statusCode : 0;
+    const result = await engine.resume(engineRequestId, afterSeq, signal);
+    const status = result.isOk() ? result.value.statusCode : 0;
     metrics.count('agent_engine_resumes_total', {status: String(status)});
     logger.info('engine-resume', {
       attempt: this.options.attemptId,
       afterSeq,
       status: status || undefined,
-      code: answer.isErr() ? answer.error.code : undefined,
+      code: result.isErr() ? result.error.code : undefined,
     });
-    if (answer.isErr()) return undefined;
+    if (result.isErr()) return undefined;
     if (status === OK || status === 404) {
-      if (status === 404) await answer.value.body.dump().catch(() => {});
-      return answer.value;
+      if (status === 404) await result.value.body.dump().catch(() => {});
+      return result.value;
     }
-    await answer.value.body.dump().catch(() => {});
+    await result.value.body.dump().catch(() => {});
     return undefined;
   }
 
-  private pause(resumes: number): Promise<void> {
+  private delayResume(resumes: number): Promise<void> {
     const {clock, retryDelayMs} = this.options;
     return sleep(clock, retryDelayMs * resumes);
   }
 
-  private async read(response: EngineResponse): Promise<ReadEnd> {
+  private async readResponse(response: EngineResponse): Promise<ReadEnd> {
     const events: EventSourceMessage[] = [];
-    let overlong = false;
+    let isTooLong = false;
     const parser = createParser({
       onEvent: event => events.push(event),
       onError: error => {
-        if (error.type === 'max-buffer-size-exceeded') overlong = true;
+        if (error.type === 'max-buffer-size-exceeded') isTooLong = true;
       },
       maxBufferSize: MAX_EVENT_CHARS,
     });
@@ -114,18 +114,18 @@
       const chunks = body.iterator({destroyOnReturn: false});
       for await (const chunk of chunks as AsyncIterable<Buffer>) {
         parser.feed(decoder.decode(chunk, {stream: true}));
-        end = overlong ? 'failed' : this.takeAll(events.splice(0));
+        end = isTooLong ? 'failed' : this.processEvents(events.splice(0));
         if (end) break;
         if (this.options.sink.isFull()) await this.writableOrAborted();
       }
     } catch {
-      // Cut: what came is kept, the rest is asked for again.
+      // The connection broke: keep the received events and resume the rest.
     }
-    leaveBody(body, end === 'complete');
+    releaseBody(body, end === 'complete');
     return end ?? 'broken';
   }
 
-  /** A reader that never drains must not hold the slot past its abort. */
+  /** Also resolves on abort, so that a stalled reader can't keep the slot. */
   private async writableOrAborted(): Promise<void> {
     const {sink, signal} = this.options;
     if (signal.aborted) return;
@@ -138,7 +138,7 @@
     signal.removeEventListener('abort', onAbort);
   }
 
-  private takeAll(events: EventSourceMessage[]): ReadEnd | undefined {
+  private processEvents(events: EventSourceMessage[]): ReadEnd | undefined {
     for (const event of events) {
       const verified = this.verifier.verify(event);
       const end = this.handlers[verified.kind](verified as never);
@@ -153,34 +153,34 @@
     ) => ReadEnd | undefined;
   } = {
     pass: ({seq, data}) => {
-      this.pass(seq, data);
+      this.forward(seq, data);
       return undefined;
     },
     end: ({seq, data}) => {
-      this.pass(seq, data);
+      this.forward(seq, data);
       return 'complete';
     },
     drop: ({reason}) => {
-      this.noteFault(reason);
+      this.recordFault(reason);
       return undefined;
     },
     gap: () => {
-      this.noteFault('gap');
+      this.recordFault('gap');
       return 'broken';
     },
     'engine-error': ({message}) => {
-      this.noteFault('engine-error', message);
+      this.recordFault('engine-error', message);
       return 'failed';
     },
   };
 
-  private pass(seq: number, data: string): void {
-    if (!this.sawEvent) this.options.onFirstEvent?.();
-    this.sawEvent = true;
+  private forward(seq: number, data: string): void {
+    if (!this.hasForwardedEvent) this.options.onFirstEvent?.();
+    this.hasForwardedEvent = true;
     this.options.sink.append(seq, data);
   }
 
-  private noteFault(fault: string, message?: string): void {
+  private recordFault(fault: string, message?: string): void {
     const {metrics, logger, attemptId} = this.options;
     metrics.count('agent_stream_faults_total', {fault});
     logger.warn('stream-fault', {
@@ -193,11 +193,12 @@
 }
 
 /**
- * A whole stream is read to the end of its HTTP body, which follows at once;
- * destroying it would make an error with its stack trace for each request.
+ * Releases a response body. The body of a complete stream is read to its end,
+ * which follows immediately; destroying it would create an error with a stack
+ * trace for each request.
  */
-function leaveBody(body: EngineResponse['body'], isComplete: boolean): void {
-  // Unheard, a late error of the connection would end the process.
+function releaseBody(body: EngineResponse['body'], isComplete: boolean): void {
+  // Without a listener, a late connection error would terminate the process.
   body.on('error', () => {});
   if (isComplete) body.resume();
   else body.destroy();
--- a/packages/banyanfold-agent/src/attempts/modelAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/modelAttempt.ts
@@ -16,26 +16,26 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-/** A caller's request as it came. */
+/** A caller's request as received from the entry. */
 export interface ModelAttemptInput {
   path: string;
   headers: AttemptHeaders;
-  /** The caller's JSON with the artifact as its model. */
+  /** The caller's JSON, with `model` set to the artifact. */
   body: {stream?: unknown; [field: string]: unknown};
   res: ServerResponse;
 }
 
-/** One attempt at the engine, from its slot to its end. */
+/** Runs one attempt at the engine, from its dispatch to its end. */
 export class ModelAttempt {
   private readonly abort = new AbortController();
   private readonly attemptId: string;
   private readonly ids: {engineRequestId: string; callerRequestId: string};
-  private readonly record: StreamBuffer | WholeResponseBuffer;
+  private readonly buffer: StreamBuffer | WholeResponseBuffer;
   private startedMs = 0;
   private firstEventMs: number | undefined;
-  private isOver = false;
-  /** Whether the engine is known to have got the request. */
-  private wasAnswered = false;
+  private isFinished = false;
+  /** Whether the engine has responded, and so has received the request. */
+  private engineResponded = false;
 
   constructor(
     private readonly context: AttemptContext,
@@ -47,18 +47,20 @@
       engineRequestId: engineRequestId(headers),
       callerRequestId: headers.requestId,
     };
-    this.record =
-      body.stream === true ? this.streamRecord() : this.wholeRecord();
+    this.buffer =
+      body.stream === true
+        ? this.createStreamBuffer()
+        : this.createWholeBuffer();
   }
 
-  /** Sends the request; the slot and the memory are ours. */
+  /** Sends the request; its slot and KV memory must be reserved already. */
   async run(): Promise<void> {
     const {registry, clock, engine} = this.context;
     const {path, headers, body, res} = this.input;
     this.startedMs = clock.nowMs();
-    registry.retainResponse(this.attemptId, this.record);
+    registry.retainResponse(this.attemptId, this.buffer);
     registry.onSeal(this.attemptId, () => this.abort.abort());
-    if (this.record instanceof WholeResponseBuffer) this.record.attach(res, 0);
+    if (this.buffer instanceof WholeResponseBuffer) this.buffer.attach(res, 0);
     const sent = await engine.send({
       path,
       engineRequestId: this.ids.engineRequestId,
@@ -69,145 +71,142 @@
       mustNotRepeat: headers.idempotencyKey !== undefined,
     });
     if (sent.isErr() && sent.error.code === 'not-sent') {
-      this.endNotRun(engineUnreachable(sent.error.message));
+      this.finishNotRun(engineUnreachable(sent.error.message));
       return;
     }
     const response = sent.unwrapOr(undefined);
-    this.wasAnswered = response !== undefined;
+    this.engineResponded = response !== undefined;
     if (response && response.statusCode >= FIRST_ERROR_STATUS) {
       const refusal = await readEngineRefusal(response);
-      if (refusal.outcome === 'not-run') this.endNotRun(refusal);
+      if (refusal.outcome === 'not-run') this.finishNotRun(refusal);
       else await this.finishUnknown(refusal);
       return;
     }
-    const {record} = this;
-    const isWhole =
-      record instanceof StreamBuffer
-        ? await this.readStream(record, response)
-        : await this.readWhole(record, response);
-    if (isWhole) this.endWell();
+    const {buffer} = this;
+    const isComplete =
+      buffer instanceof StreamBuffer
+        ? await this.readStream(buffer, response)
+        : await this.readWholeResponse(buffer, response);
+    if (isComplete) this.finishComplete();
     else await this.finishUnknown(ENGINE_RESPONSE_LOST);
   }
 
   /**
-   * It may have run, and nobody can say. The slot stays taken until the engine
-   * runs it no more, its KV memory until it can't run it later either.
+   * Ends an attempt whose outcome is unknown. The slot is released once the
+   * engine no longer runs it, and the KV memory once the engine can't start it
+   * later either.
    */
   async finishUnknown(refusal: Refusal): Promise<void> {
-    if (this.isOver) return;
-    this.isOver = true;
+    if (this.isFinished) return;
+    this.isFinished = true;
     this.abort.abort();
-    this.tellReader(refusal);
+    this.refuseReader(refusal);
     this.context.registry.finish(this.attemptId);
     const {canceller, ledger} = this.context;
     const state = await canceller.cancel(this.ids.engineRequestId);
-    this.end(refusal.code);
-    if (state === 'unknown' && !this.wasAnswered) {
+    this.finish(refusal.code);
+    if (state === 'unknown' && !this.engineResponded) {
       await canceller.cancelAfterLateBound(this.ids.engineRequestId);
     }
     ledger.budget.releaseKv(this.attemptId);
   }
 
-  /** Reads a stream to its true end; false when that was not reached. */
+  /** Reads a stream to its end marker; false if that was not reached. */
   private async readStream(
-    record: StreamBuffer,
+    buffer: StreamBuffer,
     response: EngineResponse | undefined,
   ): Promise<boolean> {
     const {settings, engine, clock, logger, metrics} = this.context;
-    const attach = () => record.attachOnce(this.input.res);
-    // An answer that was lost before its first byte can still be read: the
-    // engine knows the stream by its id if it ever got the request. Until it
-    // does, no head is sent, so that the entry can be told that it was lost.
+    const attach = () => buffer.attachOnce(this.input.res);
+    // A response that was lost before its first byte can still be resumed: if
+    // the engine received the request, it knows the stream by its id. In that
+    // case no headers are sent before the first event, so that a loss can still
+    // be reported.
     if (response) attach();
-    const pump = new EngineStreamReader({
+    const streamReader = new EngineStreamReader({
       engine,
       clock,
       logger,
       metrics,
       attemptId: this.attemptId,
       ...this.ids,
-      sink: record,
+      sink: buffer,
       signal: this.abort.signal,
       maxResumes: settings.engine.maxResumes,
       retryDelayMs: settings.engine.retryDelayMs,
       onFirstEvent: () => {
         attach();
-        this.noteFirstEvent();
+        this.recordFirstEvent();
       },
     });
-    const isWhole = await pump.run(response);
-    if (isWhole) record.complete();
-    return isWhole;
+    const isComplete = await streamReader.run(response);
+    if (isComplete) buffer.complete();
+    return isComplete;
   }
 
-  private async readWhole(
-    record: WholeResponseBuffer,
+  private async readWholeResponse(
+    buffer: WholeResponseBuffer,
     response: EngineResponse | undefined,
   ): Promise<boolean> {
     const body = response && (await readWholeBody(response));
-    const answer = body && replaceResponseId(body, this.ids);
-    if (!answer) {
+    const callerBody = body && replaceResponseId(body, this.ids);
+    if (!callerBody) {
       const fault = body ? 'foreign-whole' : 'cut-whole';
       this.context.metrics.count('agent_stream_faults_total', {fault});
       return false;
     }
-    record.complete({
+    buffer.complete({
       status: response.statusCode,
       headers: {'content-type': 'application/json'},
-      body: answer,
+      body: callerBody,
     });
     return true;
   }
 
-  /** Refused before the engine took it: the slot is free at once. */
-  private endNotRun(refusal: Refusal): void {
-    this.isOver = true;
-    this.tellReader(refusal);
+  /** Ends an attempt that the engine didn't accept; frees its slot at once. */
+  private finishNotRun(refusal: Refusal): void {
+    this.isFinished = true;
+    this.refuseReader(refusal);
     this.context.registry.refuse(this.attemptId);
     this.context.ledger.budget.releaseKv(this.attemptId);
-    this.leaveSlot();
+    this.releaseSlot();
     this.log(refusal.code);
   }
 
-  private endWell(): void {
-    this.isOver = true;
-    const {
-      clock,
-      recordPrefix: notePrefix,
-      recordServed: noteServed,
-      registry,
-    } = this.context;
+  private finishComplete(): void {
+    this.isFinished = true;
+    const {clock, recordPrefix, recordServed, registry} = this.context;
     const {prefixHash, artifact} = this.input.headers;
-    notePrefix(prefixHash);
-    noteServed(artifact);
+    recordPrefix(prefixHash);
+    recordServed(artifact);
     registry.finish(this.attemptId);
     this.context.ledger.budget.releaseKv(this.attemptId);
-    this.end('complete', clock.nowMs() - this.startedMs);
+    this.finish('complete', clock.nowMs() - this.startedMs);
   }
 
-  private end(result: string, serviceTimeMs?: number): void {
+  private finish(result: string, serviceTimeMs?: number): void {
     const {registry, clock, settings} = this.context;
-    this.leaveSlot(serviceTimeMs);
+    this.releaseSlot(serviceTimeMs);
     clock.setTimer(settings.resumeWindowMs, () =>
       registry.dropResponse(this.attemptId),
     );
     this.log(result, serviceTimeMs);
   }
 
-  private leaveSlot(serviceTimeMs?: number): void {
+  private releaseSlot(serviceTimeMs?: number): void {
     const {ledger, queue} = this.context;
     ledger.endUse(this.input.headers.artifact);
     queue.release(this.attemptId, serviceTimeMs);
   }
 
-  /** A reader that has part of the answer is cut off, visibly. */
-  private tellReader(refusal: Refusal): void {
-    const reader = this.record.fail() ?? this.input.res;
+  /** Sends the refusal, or closes the connection if the response has begun. */
+  private refuseReader(refusal: Refusal): void {
+    const reader = this.buffer.fail() ?? this.input.res;
     const load = this.context.loadHeader();
     sendRefusal(reader, refusal, {attemptId: this.attemptId, load});
   }
 
-  private noteFirstEvent(): void {
+  private recordFirstEvent(): void {
     this.firstEventMs = this.context.clock.nowMs() - this.startedMs;
     const {priority} = this.input.headers;
     this.context.queue.recordFirstToken(this.firstEventMs, priority);
@@ -226,7 +225,7 @@
     });
   }
 
-  private streamRecord(): StreamBuffer {
+  private createStreamBuffer(): StreamBuffer {
     const {clock, settings} = this.context;
     return new StreamBuffer({
       attemptId: this.attemptId,
@@ -238,7 +237,7 @@
     });
   }
 
-  private wholeRecord(): WholeResponseBuffer {
+  private createWholeBuffer(): WholeResponseBuffer {
     const {clock, settings} = this.context;
     return new WholeResponseBuffer({
       clock,
--- a/packages/banyanfold-agent/src/attempts/refusal.ts
+++ b/packages/banyanfold-agent/src/attempts/refusal.ts
@@ -3,8 +3,8 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Why an attempt ends without its answer, with its HTTP status. */
-const STATUS_OF_CODE = {
+/** HTTP status for each reason why an attempt ends without a response. */
+const STATUS_BY_CODE = {
   'bad-request': 400,
   'engine-rejected': 400,
   unauthorized: 401,
@@ -26,24 +26,24 @@
   'answer-lost': 502,
 } as const;
 
-export type RefusalCode = keyof typeof STATUS_OF_CODE;
+export type RefusalCode = keyof typeof STATUS_BY_CODE;
 
 export interface Refusal {
   code: RefusalCode;
-  /** `not-run` only where it is proved that nothing ran. */
+  /** `not-run` only if it is certain that nothing ran. */
   outcome: Outcome;
   message: string;
   retryAfterMs?: number;
 }
 
-/** What each refused answer tells besides its reason. */
+/** Header values that each refusal carries. */
 export interface RefusalContext {
   attemptId: string;
-  /** The piggybacked load digest. */
+  /** The load digest as JSON. */
   load: string;
 }
 
-/** Answers with a refusal, at once. */
+/** Sends a refusal, or closes the connection if headers were sent already. */
 export function sendRefusal(
   res: ServerResponse,
   refusal: Refusal,
@@ -60,7 +60,7 @@
     outcome,
     retryAfterMs,
   });
-  res.writeHead(STATUS_OF_CODE[code], {
+  res.writeHead(STATUS_BY_CODE[code], {
     'content-type': 'application/json',
     'content-length': Buffer.byteLength(body),
     [HEADERS.attemptId]: context.attemptId,
--- a/packages/banyanfold-agent/src/attempts/responseBuffer.ts
+++ b/packages/banyanfold-agent/src/attempts/responseBuffer.ts
@@ -1,25 +1,25 @@
 import type {ServerResponse} from 'node:http';
 import type {Clock, Timer} from '@banyanfold/core';
 
-/** An answer that an entry can come back for. */
+/** A response that is retained so that an entry can resume reading it. */
 export interface ResponseBuffer {
-  /** Sends what comes after `afterSeq`; false when that isn't kept. */
+  /** Sends everything after `afterSeq`; false if that is no longer retained. */
   attach(res: ServerResponse, afterSeq: number): boolean;
   byteLength(): number;
 }
 
-/** How the reader of an answer is watched. */
+/** Options of a `ReaderTracker`. */
 export interface ReaderTrackerOptions {
   clock: Clock;
   resumeWindowMs: number;
-  /** Nobody has come back for the answer in time. */
+  /** Called if no reader has reconnected within `resumeWindowMs`. */
   onAbandoned(): void;
 }
 
 /**
- * Knows whether somebody reads an answer. An entry that loses its connection
- * comes back within moments; one that doesn't has no caller any more, and the
- * work is of no use to anyone.
+ * Tracks whether a response has a reader. An entry that loses its connection
+ * reconnects quickly. If it doesn't, its caller has disconnected and the result
+ * is no longer needed.
  */
 export class ReaderTracker {
   private reader: ServerResponse | undefined;
@@ -32,43 +32,43 @@
     return this.reader;
   }
 
-  /** A new reader takes the place of an older one. */
+  /** Sets the reader and disconnects the previous one. */
   attach(res: ServerResponse): void {
     const previous = this.reader;
     this.reader = res;
     this.timer?.cancel();
     previous?.destroy();
     if (res.destroyed) {
-      this.lost(res);
+      this.handleClose(res);
       return;
     }
-    res.on('close', () => this.lost(res));
-    res.on('drain', () => this.wake());
-    this.wake();
+    res.on('close', () => this.handleClose(res));
+    res.on('drain', () => this.notifyWaiters());
+    this.notifyWaiters();
   }
 
-  /** Stops watching: the answer is complete or given up. */
+  /** Stops tracking: the response is complete or has failed. */
   stop(): void {
     this.timer?.cancel();
     this.timer = undefined;
     this.reader = undefined;
-    this.wake();
+    this.notifyWaiters();
   }
 
-  /** Resolves at the next change: a drain, a new reader or a lost one. */
+  /** Resolves when a reader attaches, drains or disconnects, or on `stop`. */
   changed(): Promise<void> {
     return new Promise(resolve => this.waiters.add(resolve));
   }
 
-  private lost(res: ServerResponse): void {
+  private handleClose(res: ServerResponse): void {
     if (this.reader !== res) return;
     this.reader = undefined;
     const {clock, resumeWindowMs, onAbandoned} = this.options;
     this.timer = clock.setTimer(resumeWindowMs, onAbandoned);
-    this.wake();
+    this.notifyWaiters();
   }
 
-  private wake(): void {
+  private notifyWaiters(): void {
     const waiters = [...this.waiters];
     this.waiters.clear();
     for (const resolve of waiters) resolve();
--- a/packages/banyanfold-agent/src/attempts/responseHeaders.ts
+++ b/packages/banyanfold-agent/src/attempts/responseHeaders.ts
@@ -2,7 +2,7 @@
 import {HEADERS} from '@banyanfold/protocol';
 import type {AttemptContext} from './attemptContext.js';
 
-/** What each answer of an attempt bears. */
+/** Headers that every response to an attempt carries. */
 export function commonHeaders(
   attemptId: string,
   context: Pick<AttemptContext, 'loadHeader'>,
@@ -13,7 +13,7 @@
   };
 }
 
-/** Begins a stream's answer. */
+/** Sends the response headers of a stream. */
 export function writeStreamHeaders(
   res: ServerResponse,
   attemptId: string,
--- a/packages/banyanfold-agent/src/attempts/resumeAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/resumeAttempt.ts
@@ -6,7 +6,7 @@
 import {EngineStreamReader} from './engineStreamReader.js';
 import {StreamBuffer} from './streamBuffer.js';
 
-/** An entry that comes back for its answer. */
+/** An entry's request to resume a response. */
 export interface ResumeInput {
   attemptId: string;
   requestId: string;
@@ -15,28 +15,36 @@
 }
 
 /**
- * Gives an entry the rest of an answer: from what is kept here, or else, as
- * after a restart of this process, from the engine.
+ * Sends an entry the rest of a response: the retained events if there are any,
+ * otherwise, for example after a restart of this process, the engine's stream.
  */
 export async function resumeAttempt(
   context: AttemptContext,
   input: ResumeInput,
 ): Promise<void> {
   const {attemptId, afterSeq, res} = input;
-  const kept = context.registry.responseOf(attemptId);
-  const isKept = kept?.attach(res, afterSeq) ?? false;
-  context.logger.info('resume', {attempt: attemptId, afterSeq, kept: isKept});
-  if (isKept) return;
+  const retained = context.registry.responseOf(attemptId);
+  const isRetained = retained?.attach(res, afterSeq) ?? false;
+  context.logger.info('resume', {
+    attempt: attemptId,
+    afterSeq,
+    kept: isRetained,
+  });
+  if (isRetained) return;
   if (context.registry.isSealed(attemptId)) {
-    refuse('sealed', 'not-run', 'the attempt was given up before it started');
+    refuse('sealed', 'not-run', 'the attempt was sealed before it started');
     return;
   }
   if (!input.requestId) {
-    refuse('unknown-attempt', 'unknown', 'the answer is not kept');
+    refuse('unknown-attempt', 'unknown', 'the response is not retained');
     return;
   }
   await resumeAtEngine(context, input, () =>
-    refuse('unknown-attempt', 'unknown', 'the engine has no such stream'),
+    refuse(
+      'unknown-attempt',
+      'unknown',
+      'the engine could not resume the stream',
+    ),
   );
 
   function refuse(
@@ -58,13 +66,13 @@
   const {attemptId, requestId, afterSeq, res} = input;
   const abort = new AbortController();
   const engineId = engineRequestId({requestId, attemptId});
-  const first = await engine.resume(engineId, afterSeq, abort.signal);
-  if (first.isErr() || first.value.statusCode !== 200) {
-    if (first.isOk()) await first.value.body.dump().catch(() => {});
+  const resumed = await engine.resume(engineId, afterSeq, abort.signal);
+  if (resumed.isErr() || resumed.value.statusCode !== 200) {
+    if (resumed.isOk()) await resumed.value.body.dump().catch(() => {});
     refuse();
     return;
   }
-  const record = new StreamBuffer({
+  const buffer = new StreamBuffer({
     attemptId,
     clock,
     resumeWindowMs: settings.resumeWindowMs,
@@ -76,10 +84,10 @@
   const isNew = context.registry.begin(attemptId) === 'begun';
   if (isNew) {
     context.registry.dispatch(attemptId);
-    context.registry.retainResponse(attemptId, record);
+    context.registry.retainResponse(attemptId, buffer);
   }
-  record.attach(res, afterSeq);
-  const pump = new EngineStreamReader({
+  buffer.attach(res, afterSeq);
+  const streamReader = new EngineStreamReader({
     engine,
     clock,
     logger,
@@ -87,20 +95,20 @@
     attemptId,
     engineRequestId: engineId,
     callerRequestId: requestId,
-    sink: record,
+    sink: buffer,
     signal: abort.signal,
     maxResumes: settings.engine.maxResumes,
     retryDelayMs: settings.engine.retryDelayMs,
     startSeq: afterSeq,
   });
-  const isWhole = await pump.run(first.value);
-  if (isWhole) record.complete();
-  else record.fail();
+  const isComplete = await streamReader.run(resumed.value);
+  if (isComplete) buffer.complete();
+  else buffer.fail();
   if (isNew) {
     context.registry.finish(attemptId);
     clock.setTimer(settings.resumeWindowMs, () =>
       context.registry.dropResponse(attemptId),
     );
   }
-  if (!isWhole && isNew) await canceller.cancel(engineId);
+  if (!isComplete && isNew) await canceller.cancel(engineId);
 }
--- a/packages/banyanfold-agent/src/attempts/serviceAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/serviceAttempt.ts
@@ -7,16 +7,16 @@
 import {sendRefusal, type Refusal} from './refusal.js';
 import {WholeResponseBuffer} from './wholeResponseBuffer.js';
 
-/** Headers of the service's answer that the caller gets. */
-const FORWARDED_ANSWER_HEADERS = ['content-type', 'retry-after', 'location'];
+/** Headers of the service's response that are forwarded to the caller. */
+const FORWARDED_RESPONSE_HEADERS = ['content-type', 'retry-after', 'location'];
 
-const ANSWER_LOST: Refusal = {
+const SERVICE_RESPONSE_LOST: Refusal = {
   code: 'answer-lost',
   outcome: 'unknown',
-  message: "the service's answer was lost after the call was sent",
+  message: "the service's response was lost after the call was sent",
 };
 
-/** A call to a plain service as it came. */
+/** A call to a plain service as received from the entry. */
 export interface ServiceAttemptInput {
   url: string;
   headers: AttemptHeaders;
@@ -26,11 +26,11 @@
 }
 
 /**
- * A dispatcher that sends each call once. Some calls must not run twice, and a
- * client that finds its kept-alive connection closed may send again by itself
- * or can't say whether the first sending arrived. With no connection kept and
- * nothing pipelined there is no second sending, and a failed connect proves
- * that there was no first.
+ * Creates a dispatcher that sends each call at most once. Some calls must not
+ * run twice. A client that finds its kept-alive connection closed may retry on
+ * its own, or can't tell whether the call arrived. Without keep-alive and
+ * pipelining there is no retry, and a failed connect proves that nothing was
+ * sent.
  */
 export function createServiceDispatcher(timeoutMs: number): Agent {
   return new Agent({
@@ -41,8 +41,9 @@
 }
 
 /**
- * The URL of a call, or undefined when its path leads out of the service's own
- * paths: `..` in a caller's path would reach what operators did not publish.
+ * Returns the URL of a call, or undefined if its path leaves the service's base
+ * path: `..` in a caller's path would reach paths that operators did not
+ * publish.
  *
  * @example serviceUrl('http://h:1/api', 'cases?x=1') // 'http://h:1/api/cases?x=1'
  */
@@ -54,7 +55,7 @@
   return isInside ? url : undefined;
 }
 
-/** Calls a plain service exactly once and keeps its answer for the entry. */
+/** Calls a plain service once and retains its response for the entry. */
 export async function runServiceAttempt(
   context: AttemptContext,
   dispatcher: Dispatcher,
@@ -62,15 +63,15 @@
 ): Promise<void> {
   const {registry, clock, settings, metrics, logger} = context;
   const {attemptId, requestId} = input.headers;
-  const record = new WholeResponseBuffer({
+  const buffer = new WholeResponseBuffer({
     clock,
     resumeWindowMs: settings.resumeWindowMs,
     commonHeaders: () => commonHeaders(attemptId, context),
-    // The call has its effect whether or not somebody waits for its answer.
+    // The call takes effect whether or not a reader waits for its response.
     onAbandoned: () => {},
   });
-  registry.retainResponse(attemptId, record);
-  record.attach(input.res, 0);
+  registry.retainResponse(attemptId, buffer);
+  buffer.attach(input.res, 0);
   const result = await callOnce();
   registry.finish(attemptId);
   clock.setTimer(settings.resumeWindowMs, () =>
@@ -81,20 +82,20 @@
 
   async function callOnce(): Promise<string> {
     try {
-      const answer = await request(input.url, {
+      const response = await request(input.url, {
         method: 'POST',
         dispatcher,
         reset: true,
-        headers: forwardedHeaders(input),
+        headers: toServiceHeaders(input),
         body: input.body,
       });
-      const body = Buffer.from(await answer.body.arrayBuffer());
-      const headers = answerHeaders(answer.headers);
-      record.complete({status: answer.statusCode, headers, body});
+      const body = Buffer.from(await response.body.arrayBuffer());
+      const headers = toForwardedHeaders(response.headers);
+      buffer.complete({status: response.statusCode, headers, body});
       return 'answered';
     } catch (error) {
-      const reader = record.fail();
-      const refusal = refusalOf(error);
+      const reader = buffer.fail();
+      const refusal = toRefusal(error);
       if (refusal.outcome === 'not-run') registry.refuse(attemptId);
       const load = context.loadHeader();
       if (reader) sendRefusal(reader, refusal, {attemptId, load});
@@ -103,17 +104,17 @@
   }
 }
 
-function refusalOf(error: unknown): Refusal {
-  if (!isNotSent(error)) return ANSWER_LOST;
+function toRefusal(error: unknown): Refusal {
+  if (!isNotSent(error)) return SERVICE_RESPONSE_LOST;
   return {
     code: 'service-unreachable',
     outcome: 'not-run',
-    message: 'the service took no connection',
+    message: 'could not connect to the service',
     retryAfterMs: 1_000,
   };
 }
 
-function forwardedHeaders(input: ServiceAttemptInput): Record<string, string> {
+function toServiceHeaders(input: ServiceAttemptInput): Record<string, string> {
   const {requestId, idempotencyKey} = input.headers;
   const contentType = input.incoming['content-type'] ?? 'application/json';
   const headers: Record<string, string> = {
@@ -124,11 +125,11 @@
   return headers;
 }
 
-function answerHeaders(
+function toForwardedHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> {
   const forwarded: Record<string, string> = {};
-  for (const name of FORWARDED_ANSWER_HEADERS) {
+  for (const name of FORWARDED_RESPONSE_HEADERS) {
     const value = headers[name];
     if (typeof value === 'string') forwarded[name] = value;
   }
--- a/packages/banyanfold-agent/src/attempts/smoothedTime.ts
+++ b/packages/banyanfold-agent/src/attempts/smoothedTime.ts
@@ -1,15 +1,17 @@
 import type {Clock} from '@banyanfold/core';
 
-const NEW_SHARE = 0.1;
-/** Without new samples the distance to the initial value halves in this. */
+const SAMPLE_WEIGHT = 0.1;
+/** Time in which the distance to the initial value halves without samples. */
 const HALF_LIFE_MS = 2_000;
 
 /**
- * A smoothed duration that returns to its initial value when nothing new comes.
+ * An exponentially smoothed duration that decays to its initial value when
+ * there are no new samples.
  *
- * After a stall the smoothed time to a first token can pass every budget; then
- * each request is refused as too late, no sample ever comes again, and the
- * agent refuses for good. Forgetting lets requests in again within seconds.
+ * After a stall, the smoothed time to first token can exceed every budget.
+ * Every request would then be refused as too late, and without new samples the
+ * agent would refuse requests forever. With the decay it admits requests again
+ * within seconds.
  */
 export class SmoothedTime {
   private valueMs: number;
@@ -24,14 +26,14 @@
   }
 
   add(sampleMs: number): void {
-    const present = this.currentMs();
-    this.valueMs = present + (sampleMs - present) * NEW_SHARE;
+    const currentMs = this.currentMs();
+    this.valueMs = currentMs + (sampleMs - currentMs) * SAMPLE_WEIGHT;
     this.sampledAtMs = this.clock.nowMs();
   }
 
   currentMs(): number {
     const ageMs = this.clock.nowMs() - this.sampledAtMs;
-    const keptShare = 0.5 ** (ageMs / HALF_LIFE_MS);
-    return this.initialMs + (this.valueMs - this.initialMs) * keptShare;
+    const decayFactor = 0.5 ** (ageMs / HALF_LIFE_MS);
+    return this.initialMs + (this.valueMs - this.initialMs) * decayFactor;
   }
 }
--- a/packages/banyanfold-agent/src/attempts/streamBuffer.ts
+++ b/packages/banyanfold-agent/src/attempts/streamBuffer.ts
@@ -7,34 +7,34 @@
   text: string;
 }
 
-/** How a stream's record is built. */
+/** Options of a `StreamBuffer`. */
 export interface StreamBufferOptions {
   attemptId: string;
   clock: Clock;
   resumeWindowMs: number;
-  /** Of the frames already sent, this much is kept for a resume. */
+  /** Limit for retained frames; the oldest are dropped first. */
   maxBytes: number;
-  /** The number of the last event that the reader has already. */
+  /** Sequence number of the last event that the reader already has. */
   startSeq?: number;
   writeHead(res: ServerResponse): void;
   onAbandoned(): void;
 }
 
 /**
- * The events of one attempt, as sent to the entry and kept for its resume.
+ * Sends the events of one attempt to the entry and retains them for a resume.
  *
  * @example
- * record.attach(res, 0);
- * record.append(1, '{"id":"chatcmpl-…"}');
- * await record.writable();
- * record.complete();
+ * buffer.attach(res, 0);
+ * buffer.append(1, '{"id":"chatcmpl-…"}');
+ * await buffer.writable();
+ * buffer.complete();
  */
 export class StreamBuffer implements ResponseBuffer {
   private readonly frames: Frame[] = [];
   private readonly tracker: ReaderTracker;
-  private keptBytes = 0;
-  private wasAttached = false;
-  private readerHasThrough = 0;
+  private retainedBytes = 0;
+  private hasAttached = false;
+  private readerLastSeq = 0;
   private state: 'open' | 'complete' | 'broken' = 'open';
 
   constructor(private readonly options: StreamBufferOptions) {
@@ -42,15 +42,15 @@
   }
 
   byteLength(): number {
-    return this.keptBytes;
+    return this.retainedBytes;
   }
 
   attach(res: ServerResponse, afterSeq: number): boolean {
-    if (this.state === 'broken' || afterSeq < this.droppedThrough()) {
+    if (this.state === 'broken' || afterSeq < this.lastDroppedSeq()) {
       return false;
     }
-    this.wasAttached = true;
-    this.readerHasThrough = afterSeq;
+    this.hasAttached = true;
+    this.readerLastSeq = afterSeq;
     this.options.writeHead(res);
     for (const frame of this.frames) {
       if (frame.seq > afterSeq) res.write(frame.text);
@@ -60,28 +60,31 @@
     return true;
   }
 
-  /** Attaches the caller's own connection, the first time it is called. */
+  /** Attaches a reader, unless one was attached before. */
   attachOnce(res: ServerResponse): void {
-    if (this.wasAttached) return;
+    if (this.hasAttached) return;
     this.attach(res, 0);
   }
 
   append(seq: number, data: string): void {
     const text = `id: ${this.options.attemptId}/${seq}\ndata: ${data}\n\n`;
     this.frames.push({seq, text});
-    this.keptBytes += text.length;
-    if (seq > this.readerHasThrough) this.tracker.current?.write(text);
-    while (this.keptBytes > this.options.maxBytes && this.frames.length > 1) {
-      this.keptBytes -= this.frames.shift()!.text.length;
+    this.retainedBytes += text.length;
+    if (seq > this.readerLastSeq) this.tracker.current?.write(text);
+    while (
+      this.retainedBytes > this.options.maxBytes &&
+      this.frames.length > 1
+    ) {
+      this.retainedBytes -= this.frames.shift()!.text.length;
     }
   }
 
-  /** Resolves when the reader, or the record without one, can take more. */
+  /** Resolves when the reader, or else the buffer, has capacity again. */
   async writable(): Promise<void> {
     while (this.state === 'open' && this.isFull()) await this.tracker.changed();
   }
 
-  /** Ends cleanly; only after the end marker was appended. */
+  /** Ends the stream cleanly. The end marker must have been appended. */
   complete(): void {
     this.state = 'complete';
     const reader = this.tracker.current;
@@ -89,7 +92,7 @@
     reader?.end();
   }
 
-  /** Ends visibly broken: a clean end would make a part look whole. */
+  /** Destroys the connection; a clean end would make a part look complete. */
   fail(): undefined {
     this.state = 'broken';
     const reader = this.tracker.current;
@@ -100,10 +103,10 @@
   isFull(): boolean {
     const reader = this.tracker.current;
     if (reader) return reader.writableNeedDrain;
-    return this.keptBytes >= this.options.maxBytes / 2;
+    return this.retainedBytes >= this.options.maxBytes / 2;
   }
 
-  private droppedThrough(): number {
+  private lastDroppedSeq(): number {
     const first = this.frames[0];
     return first ? first.seq - 1 : (this.options.startSeq ?? 0);
   }
--- a/packages/banyanfold-agent/src/attempts/wholeResponse.ts
+++ b/packages/banyanfold-agent/src/attempts/wholeResponse.ts
@@ -1,23 +1,24 @@
 import type {EngineResponse} from '../engine/engineClient.js';
 import {toCallerId} from '../engine/streamVerifier.js';
 
-/** The whole body, or undefined when any of it is missing. */
+/** Reads the whole body; undefined if any of it is missing. */
 export async function readWholeBody(
   response: EngineResponse,
 ): Promise<Buffer | undefined> {
   try {
     const body = Buffer.from(await response.body.arrayBuffer());
-    const stated = response.headers['content-length'];
-    const isShort = stated !== undefined && Number(stated) !== body.length;
-    return isShort ? undefined : body;
+    const declaredLength = response.headers['content-length'];
+    const isTruncated =
+      declaredLength !== undefined && Number(declaredLength) !== body.length;
+    return isTruncated ? undefined : body;
   } catch {
     return undefined;
   }
 }
 
 /**
- * Puts the caller's id into an answer; undefined for an answer that is no JSON
- * object or bears the id of another request.
+ * Replaces the engine's id in a response by the caller's. Returns undefined if
+ * the response is not a JSON object or carries the id of another request.
  */
 export function replaceResponseId(
   body: Buffer,
@@ -29,7 +30,7 @@
   return Buffer.from(JSON.stringify({...parsed, id}));
 }
 
-/** The JSON object in a body, or undefined. */
+/** Parses a body as a JSON object; undefined if it isn't one. */
 export function parseJsonObject(
   body: Buffer,
 ): Record<string, unknown> | undefined {
--- a/packages/banyanfold-agent/src/attempts/wholeResponseBuffer.ts
+++ b/packages/banyanfold-agent/src/attempts/wholeResponseBuffer.ts
@@ -2,53 +2,53 @@
 import type {Clock} from '@banyanfold/core';
 import {ReaderTracker, type ResponseBuffer} from './responseBuffer.js';
 
-/** An answer that is sent in one piece. */
+/** A response that is not streamed. */
 export interface WholeResponse {
   status: number;
   headers: Record<string, string>;
   body: Buffer;
 }
 
-/** How a whole answer's record is built. */
+/** Options of a `WholeResponseBuffer`. */
 export interface WholeResponseBufferOptions {
   clock: Clock;
   resumeWindowMs: number;
-  /** Headers that each answer to an entry bears. */
+  /** Headers that each response to an entry carries. */
   commonHeaders(): Record<string, string>;
   onAbandoned(): void;
 }
 
-/** A whole answer, for the entry that waits and for one that comes back. */
+/** Retains a whole response for the waiting entry and for one that resumes. */
 export class WholeResponseBuffer implements ResponseBuffer {
   private readonly tracker: ReaderTracker;
-  private answer: WholeResponse | undefined;
-  private broken = false;
+  private response: WholeResponse | undefined;
+  private hasFailed = false;
 
   constructor(private readonly options: WholeResponseBufferOptions) {
     this.tracker = new ReaderTracker(options);
   }
 
   byteLength(): number {
-    return this.answer?.body.length ?? 0;
+    return this.response?.body.length ?? 0;
   }
 
   attach(res: ServerResponse, _afterSeq: number): boolean {
-    if (this.broken) return false;
-    if (this.answer) this.send(res, this.answer);
+    if (this.hasFailed) return false;
+    if (this.response) this.send(res, this.response);
     else this.tracker.attach(res);
     return true;
   }
 
-  complete(answer: WholeResponse): void {
-    this.answer = answer;
+  complete(response: WholeResponse): void {
+    this.response = response;
     const reader = this.tracker.current;
     this.tracker.stop();
-    if (reader) this.send(reader, answer);
+    if (reader) this.send(reader, response);
   }
 
-  /** Gives up, and hands back the reader that must be told. */
+  /** Marks the response as failed; returns the reader that needs a refusal. */
   fail(): ServerResponse | undefined {
-    this.broken = true;
+    this.hasFailed = true;
     const reader = this.tracker.current;
     this.tracker.stop();
     return reader;
