--- a/packages/banyanfold-agent/src/engine/engineClient.ts
+++ b/packages/banyanfold-agent/src/engine/engineClient.ts
@@ -20,8 +20,8 @@
 const NOT_FOUND = 404;
 const CONFLICT = 409;
 
-/** Faults of a connection that never came to be: nothing was sent. */
-const NOT_SENT_CODES = new Set([
+/** Errors while connecting, which prove that nothing was sent. */
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -29,7 +29,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** How the engine is reached. */
+/** Address and timeouts of the engine. */
 export interface EngineClientOptions {
   url: string;
   clock: Clock;
@@ -38,7 +38,7 @@
   wholeAnswerTimeoutMs: number;
 }
 
-/** A request of a caller, as the engine gets it. */
+/** A caller's request in the form in which it is sent to the engine. */
 export interface EngineRequest {
   /** For example `v1/chat/completions`. */
   path: string;
@@ -47,7 +47,7 @@
   body: string;
   stream: boolean;
   signal: AbortSignal;
-  /** Whether it gets a connection of its own; see `dispatcherFor`. */
+  /** Whether the request gets its own connection; see `dispatcherFor`. */
   mustNotRepeat: boolean;
 }
 
@@ -56,12 +56,13 @@
 /** Whether an error proves that nothing was sent. */
 export function isNotSent(error: unknown): boolean {
   const {code} = error as {code?: string};
-  return code !== undefined && NOT_SENT_CODES.has(code);
+  return code !== undefined && CONNECT_ERROR_CODES.has(code);
 }
 
 /**
- * The connection to one engine. Errors have the codes `not-sent` (nothing left
- * this process) and `answer-lost` (it may have had an effect, or may yet).
+ * HTTP client of one engine. Errors have the codes `not-sent` (nothing was
+ * sent), `answer-lost` (the request may have taken effect, or still may) and
+ * `bad-answer` (the response is invalid).
  *
  * @example
  * const engine = new EngineClient({url, clock, ...DEFAULTS});
@@ -70,44 +71,44 @@
 export class EngineClient {
   readonly peer: string;
   private readonly base: string;
-  private readonly control: Agent;
-  private readonly data: Agent;
-  private readonly fresh: Agent;
+  private readonly controlAgent: Agent;
+  private readonly pooled: Agent;
+  private readonly unpooled: Agent;
 
   constructor(private readonly options: EngineClientOptions) {
     this.base = options.url.replace(/\/$/, '');
     this.peer = `engine ${new URL(this.base).host}`;
-    this.control = new Agent({
+    this.controlAgent = new Agent({
       headersTimeout: options.requestTimeoutMs,
       bodyTimeout: options.requestTimeoutMs,
     });
-    this.data = new Agent({pipelining: 1, connections: null});
-    this.fresh = new Agent({pipelining: 0, connections: null});
+    this.pooled = new Agent({pipelining: 1, connections: null});
+    this.unpooled = new Agent({pipelining: 0, connections: null});
   }
 
   /**
-   * On a kept-alive connection that the engine closes at that moment, nobody
-   * can tell whether the request arrived. The entry then sends it elsewhere,
-   * unless it may not be repeated: its caller would hear "outcome unknown" for
-   * nothing. Such a request has a connection to itself, where a failed connect
-   * proves that nothing was sent.
+   * If the engine closes a kept-alive connection while a request is sent on it,
+   * it is unknown whether the request arrived. The entry then retries
+   * elsewhere, unless the request must not be repeated: its caller would
+   * receive "outcome unknown" without need. Such a request gets its own
+   * connection, where a failed connect proves that nothing was sent.
    */
-  private dispatcherFor({mustNotRepeat: mayNotRepeat}: EngineRequest): Agent {
-    return mayNotRepeat ? this.fresh : this.data;
+  private dispatcherFor({mustNotRepeat}: EngineRequest): Agent {
+    return mustNotRepeat ? this.unpooled : this.pooled;
   }
 
-  /** The report with the times that make it evidence. */
+  /** Reads the report, with the times that show which events it can reflect. */
   async report(): Promise<
     Result<{report: EngineReport; timing: ReportTiming}, BanyanfoldError>
   > {
     const askedAtMs = this.options.clock.nowMs();
-    const answer = await this.getJson('/report', engineReportSchema);
-    return answer.andThen(({value, engineNowMs}) => {
+    const result = await this.getJson('/report', engineReportSchema);
+    return result.andThen(({value, engineNowMs}) => {
       if (Number.isFinite(engineNowMs)) {
         return ok({report: value, timing: {askedAtMs, engineNowMs}});
       }
-      const cause = `no ${ENGINE_NOW_HEADER}: the report proves nothing`;
-      return err(this.fault('bad-answer', 'read-report', cause));
+      const cause = `no ${ENGINE_NOW_HEADER}: the report's age is unknown`;
+      return err(this.toError('bad-answer', 'read-report', cause));
     });
   }
 
@@ -115,33 +116,33 @@
     fromSeq: number,
   ): Promise<Result<CacheEvents, BanyanfoldError>> {
     const path = `/cache-events?from=${fromSeq}`;
-    const answer = await this.getJson(path, cacheEventsSchema);
-    return answer.map(({value}) => value);
+    const result = await this.getJson(path, cacheEventsSchema);
+    return result.map(({value}) => value);
   }
 
-  /** Sends an order once. It never throws and never repeats. */
+  /** Sends an order once, without retries; never throws. */
   async order(order: EngineOrder): Promise<OrderResult> {
     try {
       const response = await request(`${this.base}/orders`, {
         method: 'POST',
-        dispatcher: this.control,
+        dispatcher: this.controlAgent,
         headers: {'content-type': 'application/json'},
         body: JSON.stringify(order),
       });
       const body: unknown = await response.body.json();
-      return readOrderAnswer(response, body);
+      return parseOrderResult(response, body);
     } catch (error) {
       return {kind: isNotSent(error) ? 'not-sent' : 'answer-lost'};
     }
   }
 
-  /** Sends a caller's request, once. */
+  /** Sends a caller's request once, without retries. */
   async send(
     call: EngineRequest,
   ): Promise<Result<EngineResponse, BanyanfoldError>> {
     const {streamIdleTimeoutMs, wholeAnswerTimeoutMs} = this.options;
     const timeoutMs = call.stream ? streamIdleTimeoutMs : wholeAnswerTimeoutMs;
-    return this.attempt('send-request', `/${call.path}`, {
+    return this.tryRequest('send-request', `/${call.path}`, {
       method: 'POST',
       dispatcher: this.dispatcherFor(call),
       signal: call.signal,
@@ -156,16 +157,16 @@
     });
   }
 
-  /** Asks for a stream again, after event `afterSeq`. */
+  /** Resumes a stream after event `afterSeq`. */
   async resume(
     engineRequestId: string,
     afterSeq: number,
     signal: AbortSignal,
   ): Promise<Result<EngineResponse, BanyanfoldError>> {
     const {streamIdleTimeoutMs} = this.options;
-    return this.attempt('resume-stream', this.streamPath(engineRequestId), {
+    return this.tryRequest('resume-stream', this.streamPath(engineRequestId), {
       method: 'GET',
-      dispatcher: this.data,
+      dispatcher: this.pooled,
       signal,
       headersTimeout: streamIdleTimeoutMs,
       bodyTimeout: streamIdleTimeoutMs,
@@ -177,25 +178,25 @@
     engineRequestId: string,
   ): Promise<Result<CancelState, BanyanfoldError>> {
     const path = this.streamPath(engineRequestId);
-    const answer = await this.attempt('cancel-stream', path, {
+    const result = await this.tryRequest('cancel-stream', path, {
       method: 'DELETE',
-      dispatcher: this.control,
+      dispatcher: this.controlAgent,
     });
-    if (answer.isErr()) return err(answer.error);
-    if (answer.value.statusCode === NOT_FOUND) {
-      await answer.value.body.dump().catch(() => {});
+    if (result.isErr()) return err(result.error);
+    if (result.value.statusCode === NOT_FOUND) {
+      await result.value.body.dump().catch(() => {});
       return ok('unknown');
     }
-    const read = await this.readJson('cancel-stream', answer.value);
+    const read = await this.readJson('cancel-stream', result.value);
     return read.andThen(body => {
-      const checked = cancelResponseSchema.safeParse(body);
-      if (checked.success) return ok(checked.data.state);
-      return err(this.fault('bad-answer', 'cancel-stream', checked.error));
+      const parsed = cancelResponseSchema.safeParse(body);
+      if (parsed.success) return ok(parsed.data.state);
+      return err(this.toError('bad-answer', 'cancel-stream', parsed.error));
     });
   }
 
   async close(): Promise<void> {
-    const agents = [this.control, this.data, this.fresh];
+    const agents = [this.controlAgent, this.pooled, this.unpooled];
     await Promise.all(agents.map(agent => agent.destroy()));
   }
 
@@ -203,7 +204,7 @@
     return `/v1/streams/${encodeURIComponent(engineRequestId)}`;
   }
 
-  private async attempt(
+  private async tryRequest(
     step: string,
     path: string,
     options: Omit<NonNullable<Parameters<typeof request>[1]>, 'opaque'>,
@@ -212,7 +213,7 @@
       return ok(await request<null>(`${this.base}${path}`, options));
     } catch (error) {
       const code = isNotSent(error) ? 'not-sent' : 'answer-lost';
-      return err(this.fault(code, step, error));
+      return err(this.toError(code, step, error));
     }
   }
 
@@ -223,17 +224,17 @@
     Result<{value: z.output<S>; engineNowMs: number}, BanyanfoldError>
   > {
     const step = `read-${path.split('?')[0]!.slice(1)}`;
-    const answer = await this.attempt(step, path, {
+    const result = await this.tryRequest(step, path, {
       method: 'GET',
-      dispatcher: this.control,
+      dispatcher: this.controlAgent,
     });
-    if (answer.isErr()) return err(answer.error);
-    const engineNowMs = engineNow(answer.value);
-    const body = await this.readJson(step, answer.value);
+    if (result.isErr()) return err(result.error);
+    const engineNowMs = readEngineNowMs(result.value);
+    const body = await this.readJson(step, result.value);
     return body.andThen(read => {
-      const checked = schema.safeParse(read);
-      if (checked.success) return ok({value: checked.data, engineNowMs});
-      return err(this.fault('bad-answer', step, checked.error));
+      const parsed = schema.safeParse(read);
+      if (parsed.success) return ok({value: parsed.data, engineNowMs});
+      return err(this.toError('bad-answer', step, parsed.error));
     });
   }
 
@@ -244,39 +245,43 @@
     try {
       return ok(await response.body.json());
     } catch (error) {
-      return err(this.fault('answer-lost', step, error));
+      return err(this.toError('answer-lost', step, error));
     }
   }
 
-  private fault(code: string, step: string, cause: unknown): BanyanfoldError {
+  private toError(code: string, step: string, cause: unknown): BanyanfoldError {
     const message = cause instanceof Error ? cause.message : String(cause);
     const place = {step, peer: this.peer};
     return new BanyanfoldError(code, message, place, {cause});
   }
 }
 
-function engineNow(response: EngineResponse): number {
+function readEngineNowMs(response: EngineResponse): number {
   return Number(response.headers[ENGINE_NOW_HEADER] ?? Number.NaN);
 }
 
 /**
- * An engine may stall between receiving an order and carrying it out, and a
- * report from within the stall lacks a copy that is about to be loaded. Its
- * answer leaves only after that.
+ * Returns the engine time after which reports reflect an order. An engine may
+ * stall between receiving an order and executing it, and a report from this
+ * interval lacks a copy that is about to be loaded. The engine responds only
+ * after executing the order.
  */
-function visibleAfter(receivedAtMs: number, engineNowMs: number): number {
+function toVisibleAfterMs(receivedAtMs: number, engineNowMs: number): number {
   if (!Number.isFinite(engineNowMs)) return receivedAtMs;
   return Math.max(receivedAtMs, engineNowMs);
 }
 
-function readOrderAnswer(response: EngineResponse, body: unknown): OrderResult {
-  const engineNowMs = engineNow(response);
+function parseOrderResult(
+  response: EngineResponse,
+  body: unknown,
+): OrderResult {
+  const engineNowMs = readEngineNowMs(response);
   const accepted = orderAcceptedSchema.safeParse(body);
   if (response.statusCode < 300 && accepted.success) {
     const {receivedAtMs} = accepted.data;
     return {
       kind: 'accepted',
-      visibleAfterMs: visibleAfter(receivedAtMs, engineNowMs),
+      visibleAfterMs: toVisibleAfterMs(receivedAtMs, engineNowMs),
     };
   }
   const {code, highestFencing = 0} = orderRefusedSchema
--- a/packages/banyanfold-agent/src/engine/engineSchemas.ts
+++ b/packages/banyanfold-agent/src/engine/engineSchemas.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** The engine's load report; it lags. */
+/** The engine's load report; it lags behind the engine's current state. */
 export const engineReportSchema = z.object({
   takenAtMs: z.number(),
   running: z.number(),
@@ -50,7 +50,7 @@
 export type CacheEvents = z.infer<typeof cacheEventsSchema>;
 export type CancelState = z.infer<typeof cancelResponseSchema>['state'];
 
-/** An order to the engine; idempotent by its id. */
+/** An order to the engine; idempotent by `orderId`. */
 export interface EngineOrder {
   orderId: string;
   kind: 'load' | 'unload' | 'set-role';
@@ -60,13 +60,13 @@
   fencing: number;
 }
 
-/** What became of one transmission of an order. */
+/** The result of one transmission of an order. */
 export type OrderResult =
-  /** Engine clock: a report taken later shows what the order did. */
+  /** Engine clock: reports taken later reflect the order. */
   | {kind: 'accepted'; visibleAfterMs: number}
   | {kind: 'stale-fencing'; highestFencing: number; engineNowMs: number}
   | {kind: 'refused'; code: string; engineNowMs: number}
-  /** Nothing left this process. */
+  /** Nothing was sent. */
   | {kind: 'not-sent'}
-  /** It may have been taken, or may still be. */
+  /** The engine may have accepted the order, or may still accept it. */
   | {kind: 'answer-lost'};
--- a/packages/banyanfold-agent/src/engine/fencingTokenManager.ts
+++ b/packages/banyanfold-agent/src/engine/fencingTokenManager.ts
@@ -2,11 +2,11 @@
 import {acquireFence, Backoff, type LogService} from '@banyanfold/log';
 import {v4 as uuidV4} from 'uuid';
 
-const RETRY_CAP_MS = 5_000;
-/** Provisional incarnations are drawn from this many. */
+const MAX_RETRY_DELAY_MS = 5_000;
+/** Number of possible provisional incarnations. */
 const PROVISIONAL_RANGE = 2 ** 48;
 
-/** How a fence keeper is built. */
+/** Options of a `FencingTokenManager`. */
 export interface FencingTokenManagerOptions {
   log: LogService;
   vmId: string;
@@ -16,40 +16,40 @@
 }
 
 /**
- * Holds this process's fencing number and with it its incarnation.
+ * Holds this process's fencing token and the incarnation derived from it.
  *
- * While the log is out at the start there is no number. The process then
- * serves under a provisional incarnation: negative, as no offset is, and drawn
- * at random, so that an attempt meant for an earlier process can't match it.
+ * If the log is unavailable at the start, there is no token. The process then
+ * serves under a provisional incarnation. It is negative, unlike a log offset,
+ * and random, so that an attempt sent to an earlier process can't match it.
  */
 export class FencingTokenManager {
   private readonly provisional: number;
-  private fencing: number | undefined;
-  private first: number | undefined;
+  private token: number | undefined;
+  private firstToken: number | undefined;
   private stopped = false;
   private superseded = false;
 
   constructor(private readonly options: FencingTokenManagerOptions) {
-    const drawn = Math.floor(options.random() * PROVISIONAL_RANGE);
-    this.provisional = -1 - drawn;
+    const randomValue = Math.floor(options.random() * PROVISIONAL_RANGE);
+    this.provisional = -1 - randomValue;
   }
 
-  /** Names this process: its first fencing number, or the provisional one. */
+  /** Identifies this process: its first token, or a provisional value. */
   get incarnation(): number {
-    return this.first ?? this.provisional;
+    return this.firstToken ?? this.provisional;
   }
 
-  /** Whether an attempt that names this incarnation means this process. */
+  /** Whether an attempt with this incarnation was sent to this process. */
   isOwnIncarnation(incarnation: number): boolean {
-    return incarnation === this.provisional || incarnation === this.first;
+    return incarnation === this.provisional || incarnation === this.firstToken;
   }
 
-  /** The number for orders, or undefined while none may be given. */
+  /** The fencing token for orders; undefined while no orders may be sent. */
   current(): number | undefined {
-    return this.superseded ? undefined : this.fencing;
+    return this.superseded ? undefined : this.token;
   }
 
-  /** Another agent beside the engine has a higher number. */
+  /** Records that another agent of the same engine has a higher token. */
   markSuperseded(): void {
     this.superseded = true;
   }
@@ -58,7 +58,7 @@
     this.stopped = true;
   }
 
-  /** Tries once; a lost answer leaves at worst a number that nobody uses. */
+  /** Tries once; a lost response at worst leaves an unused token. */
   async tryAcquire(): Promise<boolean> {
     const {log, vmId, logger} = this.options;
     const acquired = await acquireFence({log, vmId, nonce: uuidV4()});
@@ -67,16 +67,16 @@
       logger.warn('fence-failed', {code, step, peer});
       return false;
     }
-    this.fencing = acquired.value;
-    this.first ??= acquired.value;
-    logger.info('fence', {fencing: this.fencing, incarnation: this.first});
+    this.token = acquired.value;
+    this.firstToken ??= acquired.value;
+    logger.info('fence', {fencing: this.token, incarnation: this.firstToken});
     return true;
   }
 
-  /** Tries until there is a number, with full jitter between the tries. */
+  /** Retries with full jitter until a token has been acquired. */
   async acquire(): Promise<void> {
     const {clock, random} = this.options;
-    const backoff = new Backoff({capMs: RETRY_CAP_MS, random});
+    const backoff = new Backoff({capMs: MAX_RETRY_DELAY_MS, random});
     while (!this.stopped) {
       if (await this.tryAcquire()) return;
       await sleep(clock, backoff.nextDelayMs());
--- a/packages/banyanfold-agent/src/engine/orderSender.ts
+++ b/packages/banyanfold-agent/src/engine/orderSender.ts
@@ -3,17 +3,17 @@
 import type {MemoryLedger} from '../memory/memoryLedger.js';
 import type {EngineOrder, OrderResult} from './engineSchemas.js';
 
-/** After this many transmissions a load order is left to the reports. */
+/** After this many transmissions, only reports resolve a load order. */
 const MAX_LOAD_TRANSMISSIONS = 4;
 const MAX_ROLE_TRANSMISSIONS = 4;
-const RESEND_CAP_MS = 2_000;
+const MAX_RESEND_DELAY_MS = 2_000;
 
-/** What the sender needs of the engine. */
+/** The engine interface that the sender uses. */
 export interface OrderTarget {
   order(order: EngineOrder): Promise<OrderResult>;
 }
 
-/** How an order sender is built. */
+/** Options of an `OrderSender`. */
 export interface OrderSenderOptions {
   engine: OrderTarget;
   ledger: MemoryLedger;
@@ -21,9 +21,9 @@
   logger: Logger;
   metrics: Metrics;
   random: () => number;
-  /** The fencing number in force, or undefined while there is none. */
+  /** The current fencing token, or undefined if there is none. */
   fencing(): number | undefined;
-  /** Another agent has a higher number: this one must give no more orders. */
+  /** Another agent has a higher token, so this one must send no more orders. */
   onSuperseded(highestFencing: number): void;
   resendDelayMs?: number;
 }
@@ -31,17 +31,18 @@
 const DEFAULT_RESEND_DELAY_MS = 100;
 
 /**
- * Gives the engine its orders and tells the ledger what became of them.
+ * Sends orders to the engine and records their results in the ledger.
  *
- * Orders and their answers get lost. An order is sent again under the same id,
- * which the engine takes once, so a resend is safe and soon ends the doubt; what
- * stays in doubt keeps its bytes in the ledger.
+ * Orders and their responses can be lost. An order is resent under the same id,
+ * which the engine accepts only once, so a resend is safe and usually resolves
+ * the uncertainty. An order whose result stays unknown keeps its bytes reserved
+ * in the ledger.
  */
 export class OrderSender {
   private stopped = false;
   private readonly handlers: Record<
     OrderResult['kind'],
-    (answer: OrderResult) => Verdict
+    (result: OrderResult) => TransmitDecision
   >;
 
   constructor(private readonly options: OrderSenderOptions) {
@@ -50,7 +51,7 @@
       refused: () => 'give-up',
       'not-sent': () => 'again',
       'answer-lost': () => 'again',
-      'stale-fencing': answer => this.noteStale(answer),
+      'stale-fencing': result => this.handleStaleFencing(result),
     };
   }
 
@@ -65,23 +66,23 @@
     const sent = await this.transmit(order, MAX_LOAD_TRANSMISSIONS, {
       beforeSend: () => ledger.loadSent(orderId),
     });
-    if (sent.answer?.kind === 'accepted') {
-      ledger.loadReceived(orderId, sent.answer.visibleAfterMs);
+    if (sent.result?.kind === 'accepted') {
+      ledger.loadReceived(orderId, sent.result.visibleAfterMs);
       return;
     }
-    if (sent.left) ledger.loadInDoubt(orderId);
+    if (sent.mayHaveArrived) ledger.loadInDoubt(orderId);
     else ledger.loadNeverSent(orderId);
     this.options.logger.warn('load-order-open', {
       artifact,
       order: orderId,
-      answer: sent.answer?.kind,
+      answer: sent.result?.kind,
       state: ledger.get(artifact)?.state ?? 'free',
     });
   }
 
   /**
-   * Sends an unload order until the engine takes it; the bytes stay counted.
-   * One that a barrier overtook goes again as a new order.
+   * Sends an unload order until the engine accepts it; the bytes stay reserved.
+   * An order that a later barrier made stale is sent again as a new order.
    */
   async unload(artifact: string, nextOrderId: () => string): Promise<void> {
     const {ledger, clock, fencing} = this.options;
@@ -89,33 +90,34 @@
       const orderId = nextOrderId();
       ledger.startRelease(artifact, orderId);
       const order = this.newOrder({orderId, kind: 'unload', artifact});
-      // A copy that a report showed as gone may be loaded anew; sent again, the
-      // order would take that one, which nobody retired.
-      const isWanted = () => ledger.get(artifact)?.unloadOrderId === orderId;
+      // Once a report shows the copy as gone, it may be loaded again. A resend
+      // would then unload the new copy, which has not been retired.
+      const isStillNeeded = () =>
+        ledger.get(artifact)?.unloadOrderId === orderId;
       const sent = await this.transmit(order, Number.POSITIVE_INFINITY, {
-        isWanted,
+        isStillNeeded,
       });
-      if (sent.answer?.kind === 'accepted') {
-        ledger.unloadReceived(orderId, sent.answer.visibleAfterMs);
+      if (sent.result?.kind === 'accepted') {
+        ledger.unloadReceived(orderId, sent.result.visibleAfterMs);
         return;
       }
-      await sleep(clock, RESEND_CAP_MS);
-      if (!isWanted()) return;
+      await sleep(clock, MAX_RESEND_DELAY_MS);
+      if (!isStillNeeded()) return;
     }
   }
 
   /**
-   * Asks the engine to take a role. With the role that it has, the order
-   * changes nothing but ends all orders under lower fencing numbers.
+   * Sets the engine's role. An order with the current role has no effect except
+   * to invalidate all orders with lower fencing tokens.
    *
-   * @returns the time on the engine's clock after which reports show it;
-   *     undefined when the engine did not confirm.
+   * @returns the time on the engine's clock after which reports reflect it;
+   *     undefined if the engine did not confirm.
    */
   async setRole(role: string, orderId: string): Promise<number | undefined> {
     const order = this.newOrder({orderId, kind: 'set-role', role});
     const sent = await this.transmit(order, MAX_ROLE_TRANSMISSIONS);
-    if (sent.answer?.kind !== 'accepted') return undefined;
-    return sent.answer.visibleAfterMs;
+    if (sent.result?.kind !== 'accepted') return undefined;
+    return sent.result.visibleAfterMs;
   }
 
   private newOrder(
@@ -128,29 +130,33 @@
   private async transmit(
     order: EngineOrder,
     maxTransmissions: number,
-    {beforeSend = () => {}, isWanted = () => true}: TransmitHooks = {},
-  ): Promise<Sent> {
+    {beforeSend = () => {}, isStillNeeded = () => true}: TransmitHooks = {},
+  ): Promise<TransmitResult> {
     const {clock, engine, random} = this.options;
     const baseMs = this.options.resendDelayMs ?? DEFAULT_RESEND_DELAY_MS;
-    const backoff = new Backoff({baseMs, capMs: RESEND_CAP_MS, random});
-    const sent: Sent = {left: false, answer: undefined};
-    for (let count = 1; !this.stopped && isWanted(); count++) {
+    const backoff = new Backoff({baseMs, capMs: MAX_RESEND_DELAY_MS, random});
+    const sent: TransmitResult = {mayHaveArrived: false, result: undefined};
+    for (let count = 1; !this.stopped && isStillNeeded(); count++) {
       beforeSend();
-      sent.answer = await engine.order(order);
-      if (sent.answer.kind !== 'not-sent') sent.left = true;
-      this.record(order, sent.answer, count);
-      const verdict = this.handlers[sent.answer.kind](sent.answer);
-      if (verdict !== 'again' || count >= maxTransmissions) break;
+      sent.result = await engine.order(order);
+      if (sent.result.kind !== 'not-sent') sent.mayHaveArrived = true;
+      this.recordTransmission(order, sent.result, count);
+      const decision = this.handlers[sent.result.kind](sent.result);
+      if (decision !== 'again' || count >= maxTransmissions) break;
       await sleep(clock, backoff.nextDelayMs());
     }
     return sent;
   }
 
-  private record(order: EngineOrder, answer: OrderResult, count: number): void {
+  private recordTransmission(
+    order: EngineOrder,
+    result: OrderResult,
+    count: number,
+  ): void {
     const {logger, metrics} = this.options;
     metrics.count('agent_orders_total', {
       kind: order.kind,
-      answer: answer.kind,
+      answer: result.kind,
     });
     logger.info('order', {
       order: order.orderId,
@@ -158,21 +164,21 @@
       artifact: order.artifact || undefined,
       fencing: order.fencing,
       transmission: count,
-      answer: answer.kind === 'refused' ? answer.code : answer.kind,
+      answer: result.kind === 'refused' ? result.code : result.kind,
       visibleAfterMs:
-        answer.kind === 'accepted' ? answer.visibleAfterMs : undefined,
+        result.kind === 'accepted' ? result.visibleAfterMs : undefined,
     });
   }
 
   /**
-   * A number above our newest belongs to another agent beside this engine. One
-   * that is ours only says that a barrier overtook this order.
+   * A token above this agent's newest belongs to another agent of this engine.
+   * Otherwise a barrier of this agent was processed before this order.
    */
-  private noteStale(answer: OrderResult): Verdict {
-    if (answer.kind !== 'stale-fencing') return 'give-up';
+  private handleStaleFencing(result: OrderResult): TransmitDecision {
+    if (result.kind !== 'stale-fencing') return 'give-up';
     const {fencing, onSuperseded} = this.options;
-    const ownNumber = fencing() ?? 0;
-    if (answer.highestFencing > ownNumber) onSuperseded(answer.highestFencing);
+    const ownToken = fencing() ?? 0;
+    if (result.highestFencing > ownToken) onSuperseded(result.highestFencing);
     return 'give-up';
   }
 }
@@ -180,14 +186,14 @@
 interface TransmitHooks {
   /** Called before each transmission. */
   beforeSend?(): void;
-  /** Asked before each transmission; no ends them. */
-  isWanted?(): boolean;
+  /** Called before each transmission; returning false ends them. */
+  isStillNeeded?(): boolean;
 }
 
-type Verdict = 'done' | 'again' | 'give-up';
+type TransmitDecision = 'done' | 'again' | 'give-up';
 
-interface Sent {
+interface TransmitResult {
   /** Whether any transmission may have reached the engine. */
-  left: boolean;
-  answer: OrderResult | undefined;
+  mayHaveArrived: boolean;
+  result: OrderResult | undefined;
 }
--- a/packages/banyanfold-agent/src/engine/streamVerifier.ts
+++ b/packages/banyanfold-agent/src/engine/streamVerifier.ts
@@ -2,13 +2,13 @@
 
 const DONE = '[DONE]';
 
-/** What one event of an engine's stream is to the attempt that reads it. */
+/** How the reading attempt must treat one event of an engine's stream. */
 export type VerifiedEvent =
   | {kind: 'pass'; seq: number; data: string}
   | {kind: 'end'; seq: number; data: string}
-  /** Not to be passed on; what follows may still be good. */
+  /** Must not be forwarded; the following events may still be valid. */
   | {kind: 'drop'; reason: 'doubled' | 'crossed' | 'early-end'}
-  /** What was missed must be asked for again. */
+  /** Events are missing, so the stream must be resumed. */
   | {kind: 'gap'}
   | {kind: 'engine-error'; message: string};
 
@@ -18,43 +18,43 @@
   error?: {message?: string};
 }
 
-/** How a verifier is built. */
+/** Options of a `StreamVerifier`. */
 export interface StreamVerifierOptions {
   engineRequestId: string;
-  /** The id that the caller sees in place of the engine's. */
+  /** The id that the caller receives in place of the engine's. */
   callerRequestId: string;
   lastSeq?: number;
 }
 
 /**
- * Lets through exactly the events of one attempt, once each and in order.
+ * Passes exactly the events of one attempt, once each and in order.
  *
- * Engines send events twice, send those of another request, or leave some out,
- * and the caller would read a wrong text that looks whole. An event is passed
- * only if its id is this attempt's and its number is the next one. `[DONE]`
- * bears no id, so it counts only after a choice has finished: another
- * request's would end this answer in its middle.
+ * Engines may send events twice, send events of another request, or skip some.
+ * The caller would then read a wrong text that looks complete. An event passes
+ * only if it has this attempt's id and the next sequence number. `[DONE]`
+ * carries no id, so it is accepted only after a choice has finished: the marker
+ * of another request would otherwise end this response too early.
  */
 export class StreamVerifier {
   lastSeq: number;
-  private finishSeen: boolean;
+  private hasFinished: boolean;
 
   constructor(private readonly options: StreamVerifierOptions) {
     this.lastSeq = options.lastSeq ?? 0;
-    // After a restart the event with the finish may have been passed on by the
-    // predecessor; the engine's numbers alone must do then.
-    this.finishSeen = this.lastSeq > 0;
+    // After a restart, the previous process may have forwarded the event with
+    // the finish reason, so only the engine's sequence numbers can be checked.
+    this.hasFinished = this.lastSeq > 0;
   }
 
-  /** Judges the next event as it came. */
+  /** Verifies the next event in order of arrival. */
   verify(event: EventSourceMessage): VerifiedEvent {
     const seq = event.id === undefined ? this.lastSeq + 1 : Number(event.id);
     if (!Number.isInteger(seq)) return {kind: 'gap'};
-    if (event.data === DONE) return this.takeEnd(seq);
+    if (event.data === DONE) return this.verifyEnd(seq);
     const chunk = parseChunk(event.data);
     if (!chunk) return {kind: 'gap'};
     if (chunk.error && chunk.id === undefined) {
-      const message = chunk.error.message ?? 'the engine failed';
+      const message = chunk.error.message ?? 'the engine reported an error';
       return {kind: 'engine-error', message};
     }
     const callerId = this.callerId(chunk.id);
@@ -63,16 +63,16 @@
     if (seq > this.lastSeq + 1) return {kind: 'gap'};
     this.lastSeq = seq;
     if (chunk.choices?.some(choice => choice.finish_reason != null)) {
-      this.finishSeen = true;
+      this.hasFinished = true;
     }
     const data = JSON.stringify({...chunk, id: callerId});
     return {kind: 'pass', seq, data};
   }
 
-  private takeEnd(seq: number): VerifiedEvent {
+  private verifyEnd(seq: number): VerifiedEvent {
     if (seq <= this.lastSeq) return {kind: 'drop', reason: 'doubled'};
     if (seq > this.lastSeq + 1) return {kind: 'gap'};
-    if (!this.finishSeen) return {kind: 'drop', reason: 'early-end'};
+    if (!this.hasFinished) return {kind: 'drop', reason: 'early-end'};
     this.lastSeq = seq;
     return {kind: 'end', seq, data: DONE};
   }
@@ -83,7 +83,7 @@
 }
 
 /**
- * The id that the caller sees, or undefined for an id of another attempt.
+ * Returns the id that the caller receives; undefined for another attempt's id.
  *
  * @example
  * toCallerId('chatcmpl-r1.a1',
--- a/packages/banyanfold-agent/src/http/agentServer.ts
+++ b/packages/banyanfold-agent/src/http/agentServer.ts
@@ -16,14 +16,15 @@
 import {HEADERS, PATHS} from '@banyanfold/protocol';
 
 /**
- * Longer than clients keep an idle connection, so that they close it and not
- * this server while a request is on its way, whose outcome nobody would know.
+ * Longer than clients keep an idle connection, so that they close it first. If
+ * this server closed it while a request is in transit, the outcome would be
+ * unknown.
  */
 const KEEP_ALIVE_TIMEOUT_MS = 75_000;
 const UNAUTHORIZED = 401;
 const NOT_FOUND = 404;
 
-/** Where a server sends requests on. */
+/** Dependencies and request handlers of an `AgentServer`. */
 export interface AgentServerOptions {
   internalKey: string;
   logger: Logger;
@@ -58,10 +59,10 @@
   }
 
   /**
-   * Binds the port, which no other process may hold.
+   * Binds the port exclusively.
    *
-   * @throws BanyanfoldError `port-in-use`: an agent runs on this VM already; a
-   *     paused one holds the port too.
+   * @throws BanyanfoldError `port-in-use` if another process uses the port, for
+   *     example an agent on this VM, even a paused one; else `listen-failed`.
    */
   async listen(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve, reject) => {
@@ -81,8 +82,8 @@
   }
 
   private handle(req: IncomingMessage, res: ServerResponse): void {
-    // Without a listener, a write to a connection that just broke would end
-    // the process.
+    // Without a listener, a write to a connection that just broke would
+    // terminate the process.
     res.on('error', () => res.destroy());
     if (this.options.isLeaving()) res.setHeader('connection', 'close');
     const url = req.url ?? '/';
@@ -98,10 +99,10 @@
     }
     if (path.startsWith(PATHS.attempt)) return this.attemptHandlers[method];
     if (method !== 'GET') return undefined;
-    return this.plainHandlers[path];
+    return this.publicHandlers[path];
   }
 
-  private readonly plainHandlers: Record<string, Handler> = {
+  private readonly publicHandlers: Record<string, Handler> = {
     '/healthz': (_path, _req, res) => {
       const health = this.options.health();
       sendJson(res, health.ok ? 200 : 503, health);
@@ -113,28 +114,28 @@
   };
 
   private readonly attemptHandlers: Record<string, Handler> = {
-    POST: this.guarded((url, req, res) =>
+    POST: this.requireInternalKey((url, req, res) =>
       this.options.attempt(url.slice(PATHS.attempt.length), req, res),
     ),
-    GET: this.guarded((url, req, res) =>
+    GET: this.requireInternalKey((url, req, res) =>
       this.options.resume(
         {
           attemptId: decodeURIComponent(url.slice(PATHS.attempt.length)),
-          requestId: textHeader(req, HEADERS.requestId),
-          afterSeq: readSeq(textHeader(req, HEADERS.lastEventId)),
+          requestId: headerValue(req, HEADERS.requestId),
+          afterSeq: parseLastEventId(headerValue(req, HEADERS.lastEventId)),
         },
         res,
       ),
     ),
   };
 
-  /** Lets only those in who have the internal key. */
-  private guarded(
+  /** Rejects requests without the internal key. */
+  private requireInternalKey(
     handle: (url: string, req: IncomingMessage, res: ServerResponse) => unknown,
   ): Handler {
     return (url, req, res) => {
-      const given = bearerKey(req.headers.authorization) ?? '';
-      if (!secretsEqual(given, this.options.internalKey)) {
+      const presentedKey = bearerKey(req.headers.authorization) ?? '';
+      if (!secretsEqual(presentedKey, this.options.internalKey)) {
         res.setHeader(HEADERS.outcome, 'not-run');
         sendJson(res, UNAUTHORIZED, {error: {message: 'unauthorized'}});
         return;
@@ -149,13 +150,13 @@
   }
 }
 
-/** Reads `Last-Event-ID`, with or without the attempt id before the number. */
-function readSeq(lastEventId: string): number {
+/** Parses `Last-Event-ID`, with or without the attempt id before the number. */
+function parseLastEventId(lastEventId: string): number {
   const seq = Number(lastEventId.split('/').at(-1));
   return Number.isInteger(seq) && seq > 0 ? seq : 0;
 }
 
-function textHeader(req: IncomingMessage, name: string): string {
+function headerValue(req: IncomingMessage, name: string): string {
   const value = req.headers[name];
   return typeof value === 'string' ? value : '';
 }
@@ -170,11 +171,11 @@
   host: string,
   port: number,
 ): BanyanfoldError {
-  const isTaken = error.code === 'EADDRINUSE';
+  const isPortInUse = error.code === 'EADDRINUSE';
   return new BanyanfoldError(
-    isTaken ? 'port-in-use' : 'listen-failed',
-    isTaken
-      ? 'another process holds the port; an agent must be alone beside its engine'
+    isPortInUse ? 'port-in-use' : 'listen-failed',
+    isPortInUse
+      ? 'the port is in use; only one agent may run beside an engine'
       : error.message,
     {step: 'listen', peer: `self ${host}:${port}`},
     {cause: error},
--- a/packages/banyanfold-agent/src/http/readBody.ts
+++ b/packages/banyanfold-agent/src/http/readBody.ts
@@ -1,22 +1,22 @@
 import type {IncomingMessage} from 'node:http';
 
 /**
- * Reads a whole body. Undefined when it is longer than allowed or broken off;
- * the rest isn't read then.
+ * Reads a request body. Returns undefined, without reading the rest, if the
+ * body is longer than `maxBytes` or incomplete.
  */
 export async function readBody(
   req: IncomingMessage,
   maxBytes: number,
 ): Promise<Buffer | undefined> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
   try {
-    for await (const part of req) {
-      bytes += (part as Buffer).length;
+    for await (const chunk of req) {
+      bytes += (chunk as Buffer).length;
       if (bytes > maxBytes) return undefined;
-      parts.push(part as Buffer);
+      chunks.push(chunk as Buffer);
     }
-    return req.complete ? Buffer.concat(parts) : undefined;
+    return req.complete ? Buffer.concat(chunks) : undefined;
   } catch {
     return undefined;
   }
