--- a/packages/banyanfold-agent/src/__tests__/admissionQueue.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/admissionQueue.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe('AdmissionQueue', () => {
-  it('runs the more urgent first when a slot gets free', () => {
+  it('starts the most urgent request first when a slot becomes free', () => {
     const {queue, submit, events} = createQueue({});
     submit('running');
     submit('low', {priority: 7});
@@ -49,17 +49,17 @@
     expect(events).toEqual(['0 running start', '0 high start']);
   });
 
-  it('refuses at once what can not come in time', () => {
+  it('refuses a request at once if it cannot start in time', () => {
     const {submit, events} = createQueue({});
     submit('running');
     submit('hurried', {budgetMs: 20});
     expect(events).toEqual(['0 running start', '0 hurried too-late not-run']);
   });
 
-  // A caller waits in the queue, and the slot doesn't get free. It must hear
-  // of it when its first token can't come in time any more, with nothing else
-  // happening at that moment, so that it can turn elsewhere.
-  it('refuses a waiting request the moment it is too late', async () => {
+  // While no slot becomes free, a waiting request must be refused by a timer as
+  // soon as its first token can't arrive in time, so that the caller can retry
+  // elsewhere.
+  it('refuses a waiting request as soon as it is too late', async () => {
     const {clock, submit, events} = createQueue({});
     submit('running');
     submit('waiting', {budgetMs: 800});
@@ -69,14 +69,14 @@
     expect(events.at(-1)).toBe('751 waiting too-late not-run');
   });
 
-  it('refuses what finds the queue full', () => {
+  it('refuses a request while the queue is full', () => {
     const {submit, events} = createQueue({});
     const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
     for (const id of ids) submit(id, {priority: 0});
     expect(events).toEqual(['0 a start', '0 f busy not-run']);
   });
 
-  it('runs no more than there is KV memory for', () => {
+  it('starts only requests that fit into the KV memory', () => {
     const {queue, submit, events} = createQueue({
       maxRunning: 4,
       kvFreeBytes: 100,
@@ -88,9 +88,10 @@
     expect(events).toEqual(['0 a start']);
   });
 
-  // The engine stalled once, and the smoothed time to a first token is above
-  // every budget. All would be refused, and no sample would ever correct it.
-  it('admits again some time after a stall', async () => {
+  // After a stall the smoothed time to first token exceeds every budget.
+  // Without its decay every request would be refused, and no sample would
+  // correct it.
+  it('admits requests again some time after a stall', async () => {
     const {clock, queue, submit, events} = createQueue({maxRunning: 4});
     for (let i = 0; i < 50; i++) queue.recordFirstToken(5_000, 5);
     submit('during', {budgetMs: 310});
@@ -99,10 +100,10 @@
     expect(events).toEqual(['0 during too-late not-run', '20000 after start']);
   });
 
-  // An idle runner has served drafts, whose first token takes seconds. Held to
-  // the drafts' figure, a short answer that the runner could give at once would
-  // be refused, and entries would be told of a wait that is not there.
-  it('keeps first-token times of classes apart', () => {
+  // An idle runner has served drafts, whose first token takes seconds. With the
+  // estimate of drafts it would refuse a short answer that it could give at
+  // once, and would report a queue delay to entries although it is idle.
+  it('estimates the time to first token for each class', () => {
     const {queue, submit, events} = createQueue({maxRunning: 4});
     for (let i = 0; i < 50; i++) queue.recordFirstToken(5_000, 7);
     expect(queue.queueDelayMs()).toBe(50);
@@ -111,9 +112,10 @@
     expect(events).toEqual(['0 draft too-late not-run', '0 desk start']);
   });
 
-  // Both wait for the same slot with the same deadline. The draft takes longer
-  // from its dispatch, so it is hopeless sooner than the desk request is.
-  it('gives up each waiting request by the time of its class', async () => {
+  // Both requests wait for the same slot with the same deadline. The draft
+  // takes longer after its dispatch, so it is too late earlier than the desk
+  // request.
+  it('refuses each waiting request by the estimate of its class', async () => {
     const {clock, queue, submit, events} = createQueue({});
     queue.recordFirstToken(1_050, 7);
     submit('running', {priority: 0});
--- a/packages/banyanfold-agent/src/__tests__/attemptFaults.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/attemptFaults.test.ts
@@ -23,14 +23,14 @@
   {role: 'user', content: 'is the member eligible?'},
 ]);
 
-const stops: Array<() => Promise<void>> = [];
+const cleanups: Array<() => Promise<void>> = [];
 afterEach(async () => {
-  for (const stop of stops.splice(0)) await stop();
+  for (const cleanup of cleanups.splice(0)) await cleanup();
 });
 
 async function start(options: Parameters<typeof startTestAgent>[0] = {}) {
   const started = await startTestAgent(options);
-  stops.push(started.stop);
+  cleanups.push(started.stop);
   return started;
 }
 
@@ -39,9 +39,9 @@
   return {...(await start({fakeEngine})), fakeEngine};
 }
 
-// The caller would see a text that stops early, repeats itself or has a
-// stranger's words in it, on a connection that ends as if all were well. The
-// engine still has the whole stream, so the agent reads on until its true end.
+// Guards against truncated, repeated or foreign text on a connection that ends
+// cleanly. The engine still has the whole stream, so the agent resumes it until
+// its end marker.
 describe('a stream whose engine connection misbehaves', () => {
   it.each([
     ['is cut before the first event', {cutStreamAfterEvents: 0}, 1],
@@ -51,7 +51,7 @@
     ['ends cleanly just before [DONE]', {endStreamAfterEvents: 9}, 1],
     ['sends an event twice', {doubleEvent: 2}, 1],
     ["sends another request's event", {crossAfterEvents: 2}, 1],
-  ])('that %s is whole at the end', async (_name, faults, faultyStreams) => {
+  ])('that %s is complete at the end', async (_name, faults, faultyStreams) => {
     const target = await start();
     target.engine.state.faults.set({...faults, faultyStreams});
     const {attemptId, requestId, response} = await sendAttempt(target);
@@ -65,7 +65,7 @@
     );
   });
 
-  it('that stays broken is cut for the reader, and ended at the engine', async () => {
+  it('that stays broken is cut for the reader and cancelled at the engine', async () => {
     const target = await start();
     const faults = {cutStreamAfterEvents: 1, faultyStreams: 1000};
     target.engine.state.faults.set(faults);
@@ -80,21 +80,21 @@
   });
 });
 
-// A fault in the middle that the engine can't mend: it doesn't know the stream
-// any more. Whatever came, the connection to the entry must not end cleanly.
+// The stream breaks and the engine doesn't know it any more, so it can't be
+// resumed. The connection to the entry must not end cleanly.
 describe('a stream that the engine cannot resume', () => {
   const id = (requestId: string) => `chatcmpl-${requestId}`;
   it.each<[string, (requestId: string) => string]>([
     ['a gap', r => event(1, id(r), 'a') + event(3, id(r), 'c')],
     ['a clean end', r => event(1, id(r), 'a')],
-    ['the end marker of another', r => event(1, id(r), 'a') + doneEvent(2)],
+    ["another request's end marker", r => event(1, id(r), 'a') + doneEvent(2)],
     ['an early end marker', r => event(1, id(r), 'a') + doneEvent(3)],
-    ['no JSON', r => `${event(1, id(r), 'a')}id: 2\ndata: {"id"\n\n`],
+    ['invalid JSON', r => `${event(1, id(r), 'a')}id: 2\ndata: {"id"\n\n`],
     [
       "an engine's error",
       r => `${event(1, id(r), 'a')}data: {"error":{"message":"x"}}\n\n`,
     ],
-  ])('after %s is cut, never ended', async (_name, body) => {
+  ])('after %s is cut and never ends cleanly', async (_name, body) => {
     const target = await startWithFake({
       onRequest: (_req, res, requestId) => {
         res.writeHead(200, {'content-type': 'text/event-stream'});
@@ -110,7 +110,7 @@
     await until(() => target.fakeEngine.cancelled.length === 1);
   });
 
-  it('keeps an event that comes in pieces together', async () => {
+  it('reassembles an event that arrives in pieces', async () => {
     const target = await startWithFake({
       onRequest: (_req, res, requestId) => {
         const name = id(requestId);
@@ -131,11 +131,11 @@
   });
 });
 
-// The entry has stalled and reads nothing. Were the engine's events taken in
-// all the same, a few such readers would fill the agent's memory; and a reader
-// that never wakes must not keep its slot once the attempt is given up.
+// An entry stalls and reads nothing. Without backpressure on the engine, a few
+// such readers would fill the agent's memory. A reader that never continues
+// must not keep its slot after its attempt is sealed.
 describe('a reader that stops reading', () => {
-  it('stops the reading at the engine, and is let go by a seal', async () => {
+  it('pauses reading from the engine and loses its slot on a seal', async () => {
     const chunk = 'x'.repeat(60_000);
     let blockedCount = 0;
     let lastSeq = 0;
@@ -167,12 +167,12 @@
   });
 });
 
-// The engine's answer is lost, short or somebody else's. The caller must hear
-// that the outcome is unknown: the request may have run.
-describe('a whole answer that is not whole', () => {
+// The engine's response is lost, truncated or another request's. The outcome
+// must be reported as unknown, because the request may have run.
+describe('a whole response that is unusable', () => {
   const whole = (id: string) => JSON.stringify({id, choices: []});
   it.each<[string, FakeEngineOptions['onRequest']]>([
-    ['never comes', (_req, res) => res.destroy()],
+    ['never arrives', (_req, res) => res.destroy()],
     [
       'is cut',
       (_req, res, r) => {
@@ -192,8 +192,8 @@
       "is another request's",
       (_req, res) => sendJson(res, 200, {id: 'chatcmpl-other', choices: []}),
     ],
-    ['is a failure', (_req, res) => sendJson(res, 500, {error: 'x'})],
-    ['is an overload of unknown depth', (_req, res) => sendJson(res, 503, {})],
+    ['is an internal error', (_req, res) => sendJson(res, 500, {error: 'x'})],
+    ['is a 503 response', (_req, res) => sendJson(res, 503, {})],
   ])('because it %s has an unknown outcome', async (_name, onRequest) => {
     const target = await startWithFake({onRequest});
     const {response} = await sendAttempt(target, {
@@ -221,7 +221,7 @@
     expect(await response.body.json()).toMatchObject({error: {code}});
   });
 
-  it('from an engine that takes no connection was not run', async () => {
+  it('from an unreachable engine was not run', async () => {
     const target = await startWithFake({onRequest: () => {}});
     await target.fakeEngine.stop();
     const {response} = await sendAttempt(target);
--- a/packages/banyanfold-agent/src/__tests__/attemptHeaders.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/attemptHeaders.test.ts
@@ -4,16 +4,17 @@
 
 type TestAgent = Awaited<ReturnType<typeof startTestAgent>>;
 
-describe('createAgent, an attempt with a wrong header', () => {
+describe('createAgent, an attempt with an invalid header', () => {
   let target: TestAgent;
   beforeAll(async () => {
     target = await startTestAgent();
   });
   afterAll(() => target.stop());
 
-  // An entry of another release sends what this agent can't read. Without the
-  // attempt's id in the refusal the entry takes it for a crossed answer, tries
-  // elsewhere, and tells its caller "unknown" instead of what is wrong.
+  // An entry of another release sends a header that this agent can't parse.
+  // Without the attempt id in the refusal, the entry would take it for a
+  // response to another attempt, retry elsewhere and report "unknown" to its
+  // caller instead of the invalid header.
   it.each([
     [HEADERS.priority, 'high'],
     [HEADERS.maxTokens, '-1'],
--- a/packages/banyanfold-agent/src/__tests__/attemptOutcome.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/attemptOutcome.test.ts
@@ -16,14 +16,14 @@
   until,
 } from './testAgent.js';
 
-const stops: Array<() => Promise<void>> = [];
+const cleanups: Array<() => Promise<void>> = [];
 afterEach(async () => {
-  for (const stop of stops.splice(0)) await stop();
+  for (const cleanup of cleanups.splice(0)) await cleanup();
 });
 
 async function start(options: Parameters<typeof startTestAgent>[0] = {}) {
   const started = await startTestAgent(options);
-  stops.push(started.stop);
+  cleanups.push(started.stop);
   return started;
 }
 
@@ -48,11 +48,11 @@
   });
 }
 
-// An entry lost its connection and seals the attempt. When it is told
-// never-started it tells the caller "not run". The attempt was only late: it
-// arrives now, and must find that it may not run any more.
+// An entry loses its connection and seals the attempt. After `never-started` it
+// reports "not run" to the caller, so an attempt that was only delayed and
+// arrives later must not run.
 describe('seal', () => {
-  it('keeps an attempt that arrives later from running', async () => {
+  it('prevents an attempt that arrives later from running', async () => {
     const target = await start();
     const attemptId = randomUUID();
     const {incarnation} = await target.client.report.query();
@@ -64,7 +64,7 @@
     expect(received(target)).toEqual([]);
   });
 
-  it('takes a queued attempt out, and answers it at once', async () => {
+  it('removes a queued attempt and refuses it at once', async () => {
     const target = await start({settings: {maxRunning: 1}});
     const long = chatBody({max_tokens: 400});
     await sendAttempt(target, {body: long});
@@ -78,8 +78,8 @@
     expect(received(target).join()).not.toContain(attemptId);
   });
 
-  // Its head has arrived, its body is slow; the seal comes in between.
-  it('keeps an attempt whose body is on its way from running', async () => {
+  // The seal arrives after the headers and before the end of the body.
+  it('prevents an attempt whose body is still arriving from running', async () => {
     const target = await start();
     const attemptId = randomUUID();
     const {incarnation} = await target.client.report.query();
@@ -106,14 +106,14 @@
     expect(sealed).toEqual({state: 'never-started'});
     sending.end(body.slice(10));
     await closed;
-    // What comes after it has been through the same door.
+    // A later attempt shows that the sealed one did not reach the engine.
     const {response} = await sendAttempt(target);
     await readUntilCut(response.body);
     expect(received(target)).toHaveLength(1);
     expect(received(target).join()).not.toContain(attemptId);
   });
 
-  it('says started of one that runs, and stops it', async () => {
+  it('returns started for a running attempt and stops it', async () => {
     const target = await start();
     const body = chatBody({max_tokens: 400});
     const {attemptId, response} = await sendAttempt(target, {body});
@@ -124,7 +124,7 @@
     await until(() => truth.ofKind('request-cancelled').length === 1);
   });
 
-  it('says finished of one that is done', async () => {
+  it('returns finished for a finished attempt', async () => {
     const target = await start();
     const {attemptId, response} = await sendAttempt(target);
     await readUntilCut(response.body);
@@ -132,8 +132,8 @@
     expect(sealed).toEqual({state: 'finished'});
   });
 
-  // The attempt ran in the process before this one, which knows nothing of it.
-  it('says unknown of an attempt of an earlier incarnation', async () => {
+  // The attempt may have run in the previous process, unknown to this one.
+  it('returns unknown for an attempt of an earlier incarnation', async () => {
     const target = await start();
     const attemptId = randomUUID();
     const named = {attemptId, incarnation: -5};
@@ -152,7 +152,7 @@
     ['bad-request', 400, {headers: {[HEADERS.attemptId]: ''}}],
     ['unknown-service', 404, {path: 'services/none/x'}],
     ['no-kv-memory', 503, {headers: {[HEADERS.maxTokens]: '99999999'}}],
-  ])('is refused %s', async (code, status, options) => {
+  ])('is refused with %s', async (code, status, options) => {
     const target = await start();
     const {response} = await sendAttempt(target, options);
     expect(response.statusCode).toBe(status);
@@ -175,10 +175,10 @@
   });
 });
 
-// The connection between entry and agent breaks in the middle of an answer;
-// the entry comes back with the number of the last event it has.
+// The connection between entry and agent breaks during a response. The entry
+// reconnects with the sequence number of the last event that it received.
 describe('resume', () => {
-  it('sends the rest from what is kept', async () => {
+  it('sends the rest from the retained events', async () => {
     const target = await start();
     const body = chatBody({max_tokens: 30});
     const {attemptId, requestId, response} = await sendAttempt(target, {body});
@@ -190,7 +190,7 @@
     expect(received(target)).toHaveLength(1);
   });
 
-  it('asks the engine after a restart of the agent', async () => {
+  it('resumes at the engine after a restart of the agent', async () => {
     const target = await start();
     const body = chatBody({max_tokens: 60});
     const {attemptId, requestId} = await sendAttempt(target, {body});
@@ -207,7 +207,7 @@
     expect(frames.done).toBe(true);
   });
 
-  it('gives a whole answer again', async () => {
+  it('sends a whole response again', async () => {
     const target = await start();
     const body = chatBody({stream: false});
     const {attemptId, requestId, response} = await sendAttempt(target, {body});
@@ -216,7 +216,7 @@
     expect(await again.body.text()).toBe(first);
   });
 
-  it('of what nobody knows has an unknown outcome', async () => {
+  it('of an unknown attempt has an unknown outcome', async () => {
     const target = await start();
     const ids = {attemptId: 'a', requestId: 'r', afterSeq: 0};
     const {statusCode, headers} = await resume(target, ids);
@@ -224,7 +224,7 @@
     expect(headers[HEADERS.outcome]).toBe('unknown');
   });
 
-  it('that never comes ends the request at the engine', async () => {
+  it('that never arrives cancels the request at the engine', async () => {
     const target = await start();
     const body = chatBody({max_tokens: 100_000});
     const {response} = await sendAttempt(target, {body});
@@ -235,9 +235,8 @@
   });
 });
 
-// A claim is lodged. The service does it, and its answer is lost. A second
-// sending would lodge it twice, so there is none, and the caller hears that
-// the outcome is unknown.
+// A service executes a call, such as lodging a claim, and its response is lost.
+// A retry would execute the call twice, so the outcome is reported as unknown.
 describe('a call to a plain service', () => {
   async function startWithService() {
     const service = new PlainServiceStandin({name: 'lodging'});
@@ -246,7 +245,7 @@
     const target = await start({
       settings: {services: [{name: 'lodging', url}]},
     });
-    stops.push(() => service.stop());
+    cleanups.push(() => service.stop());
     const call = (path: string) =>
       sendAttempt(target, {
         path: `services/lodging/${path}`,
@@ -265,19 +264,19 @@
     ]);
   });
 
-  it('whose answer is lost is not sent again', async () => {
+  it('whose response is lost is not sent again', async () => {
     const {service, call} = await startWithService();
     await (await call('claims')).response.body.dump();
     service.state.faults.set({loseNextAnswers: 1});
     const {response} = await call('claims');
     expect(response.headers[HEADERS.outcome]).toBe('unknown');
-    // A second sending would come in before this one.
+    // A retry would arrive before this call.
     const last = await call('claims');
     expect(await last.response.body.json()).toMatchObject({calls: 3});
     expect(service.state.truth.ofKind('call')).toHaveLength(3);
   });
 
-  it('to a service that takes no connection was not run', async () => {
+  it('to an unreachable service was not run', async () => {
     const {service, call} = await startWithService();
     await service.stop();
     const {response} = await call('claims');
@@ -285,15 +284,15 @@
   });
 
   it.each(['../control/faults', 'a/../../control', '%2e%2e/x'])(
-    'can not leave the paths of the service by %s',
+    'cannot leave the base path of the service with %s',
     path => expect(serviceUrl('http://h:1/api', path)).toBeUndefined(),
   );
 });
 
-// The server leaves while a long answer runs. The caller must get all of it,
-// and nobody may be sent here any more.
+// The backend server drains while a long response is streamed. The caller must
+// receive all of it, and new attempts must be refused.
 describe('drain', () => {
-  it('finishes what runs and refuses what is new', async () => {
+  it('finishes running attempts and refuses new ones', async () => {
     const target = await start();
     const body = chatBody({max_tokens: 60});
     const {response} = await sendAttempt(target, {body});
@@ -316,7 +315,7 @@
     expect(await drained).toBe(1);
   });
 
-  it('names what it cuts after its bound', async () => {
+  it('logs the attempts that it cuts after the drain timeout', async () => {
     const target = await start({settings: {drainBoundMs: 30}});
     const body = chatBody({max_tokens: 100_000});
     const {attemptId} = await sendAttempt(target, {body});
--- a/packages/banyanfold-agent/src/__tests__/attemptRandomFaults.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/attemptRandomFaults.test.ts
@@ -15,24 +15,24 @@
 const ATTEMPTS = 60;
 const MAX_TOKENS = 12;
 
-const stops: Array<() => Promise<void>> = [];
+const cleanups: Array<() => Promise<void>> = [];
 afterEach(async () => {
-  for (const stop of stops.splice(0)) await stop();
+  for (const cleanup of cleanups.splice(0)) await cleanup();
 });
 
 type Target = Awaited<ReturnType<typeof startTestAgent>>;
 
-interface Told {
+interface ReportedOutcome {
   attemptId: string;
   notRun: boolean;
-  /** The text of an answer that came whole, and what it should be. */
+  /** The text of a complete response, and the expected text. */
   text?: string;
   expected?: string;
 }
 
 function setFaults(target: Target, random: () => number): void {
   const eventNumber = () => Math.floor(random() * MAX_TOKENS);
-  const choices = [
+  const variants = [
     {failNextRequests: 1},
     {faultyStreams: 3, cutStreamAfterEvents: eventNumber()},
     {faultyStreams: 3, endStreamAfterEvents: eventNumber()},
@@ -40,37 +40,37 @@
     {faultyStreams: 3, crossAfterEvents: 1 + eventNumber()},
     {faultyStreams: 0},
   ];
-  const none = {
+  const noFaults = {
     cutStreamAfterEvents: null,
     endStreamAfterEvents: null,
     doubleEvent: null,
     crossAfterEvents: null,
   };
-  const chosen = choices[Math.floor(random() * choices.length)];
-  target.engine.state.faults.set({...none, ...chosen});
+  const faults = variants[Math.floor(random() * variants.length)];
+  target.engine.state.faults.set({...noFaults, ...faults});
 }
 
-function pause(ms: number): Promise<void> {
+function delay(ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-/** Every fourth caller waits as long as it takes, so that some are answered. */
-async function attempt(
+/** Every fourth caller has a long budget, so that some attempts complete. */
+async function runAttempt(
   target: Target,
   random: () => number,
   index: number,
-): Promise<Told> {
-  const isPatient = index % 4 === 0;
-  await pause(random() * 300);
+): Promise<ReportedOutcome> {
+  const hasLongBudget = index % 4 === 0;
+  await delay(random() * 300);
   if (random() < 0.2) setFaults(target, random);
   const attemptId = randomUUID();
   const {incarnation} = await target.agent.handlers.report();
   const messages = [{role: 'user', content: attemptId}];
   const stream = random() < 0.6;
   const abort = new AbortController();
-  const isSealing = !isPatient && random() < 0.4;
+  const isSealing = !hasLongBudget && random() < 0.4;
   const sealAfterMs = isSealing ? random() * 60 : undefined;
-  if (!isPatient && random() < 0.2) {
+  if (!hasLongBudget && random() < 0.2) {
     setTimeout(() => abort.abort(), random() * 60);
   }
   const sent = sendAttempt(target, {
@@ -81,31 +81,31 @@
     headers: {
       [HEADERS.priority]: String(Math.floor(random() * 9)),
       [HEADERS.firstTokenBudgetMs]: String(
-        isPatient ? 50_000 : 60 + random() * 600,
+        hasLongBudget ? 50_000 : 60 + random() * 600,
       ),
     },
   });
-  const answered = sent.then(
-    ({response}) => readAnswer(response, stream),
+  const reading = sent.then(
+    ({response}) => readResponse(response, stream),
     () => ({notRun: false}),
   );
   let isSealed = false;
   if (sealAfterMs !== undefined) {
-    await pause(sealAfterMs);
+    await delay(sealAfterMs);
     const {state} = await target.client.seal.mutate({attemptId, incarnation});
     isSealed = state === 'never-started';
   }
-  const answer = await answered;
+  const response = await reading;
   const prompt = renderPrompt(messages);
   return {
     attemptId,
-    ...answer,
-    notRun: answer.notRun || isSealed,
+    ...response,
+    notRun: response.notRun || isSealed,
     expected: expectedText(MODEL, prompt, MAX_TOKENS),
   };
 }
 
-async function readAnswer(
+async function readResponse(
   response: Awaited<ReturnType<typeof sendAttempt>>['response'],
   stream: boolean,
 ): Promise<{notRun: boolean; text?: string}> {
@@ -116,42 +116,42 @@
     const {content, done} = readFrames(text);
     return {notRun, text: done ? content : 'ended without its end marker'};
   }
-  const answer = JSON.parse(text) as {
+  const body = JSON.parse(text) as {
     choices: Array<{message: {content: string}}>;
   };
-  return {notRun, text: answer.choices[0]?.message.content};
+  return {notRun, text: body.choices[0]?.message.content};
 }
 
-// Many callers at once, few slots: attempts wait, are sealed, refused as late,
-// given up by their entry, and meet faults of the engine, in any order. Those
-// that were told "not run" must be unknown to the engine, and each answer that
-// ended cleanly must be whole and the caller's own.
-describe('what callers are told', () => {
-  it.each(SEEDS)('is true (seed %i)', async seed => {
+// Many concurrent callers share few slots. Attempts are queued, sealed, refused
+// as late, aborted by their entry and hit by engine faults, in random order.
+// The engine must not have received any attempt reported as "not run", and each
+// response that ended cleanly must be complete and belong to its caller.
+describe('outcomes reported to callers', () => {
+  it.each(SEEDS)('are correct (seed %i)', async seed => {
     const target = await startTestAgent({
       engine: {baseStepMs: 4},
       settings: {maxRunning: 3, maxQueued: 20},
     });
-    stops.push(target.stop);
+    cleanups.push(target.stop);
     const random = createRandom(seed);
-    const told = await Promise.all(
+    const outcomes = await Promise.all(
       Array.from({length: ATTEMPTS}, (_, index) =>
-        attempt(target, random, index),
+        runAttempt(target, random, index),
       ),
     );
-    const ran = target.engine.state.truth
+    const executedIds = target.engine.state.truth
       .ofKind('request-received')
       .map(({requestId}) => String(requestId).split('.')[1]);
-    const lies = told.filter(
-      ({attemptId, notRun}) => notRun && ran.includes(attemptId),
+    const falseNotRun = outcomes.filter(
+      ({attemptId, notRun}) => notRun && executedIds.includes(attemptId),
     );
-    expect(lies).toEqual([]);
-    const wrong = told.filter(
+    expect(falseNotRun).toEqual([]);
+    const wrongTexts = outcomes.filter(
       ({text, expected}) => text !== undefined && text !== expected,
     );
-    expect(wrong).toEqual([]);
-    // The mix is one that meets both.
-    expect(told.filter(({notRun}) => notRun)).not.toEqual([]);
-    expect(told.filter(({text}) => text !== undefined)).not.toEqual([]);
+    expect(wrongTexts).toEqual([]);
+    // The random mix must contain both cases.
+    expect(outcomes.filter(({notRun}) => notRun)).not.toEqual([]);
+    expect(outcomes.filter(({text}) => text !== undefined)).not.toEqual([]);
   });
 });
--- a/packages/banyanfold-agent/src/__tests__/engineConnections.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/engineConnections.test.ts
@@ -7,12 +7,12 @@
 const STREAM_END = 'id: 1\ndata: [DONE]\n\n';
 
 describe('EngineClient', () => {
-  const stops: Array<() => Promise<void>> = [];
+  const cleanups: Array<() => Promise<void>> = [];
   afterEach(async () => {
-    for (const stop of stops.splice(0)) await stop();
+    for (const cleanup of cleanups.splice(0)) await cleanup();
   });
 
-  /** Sends two requests, one after the other; the connections they came on. */
+  /** Sends two requests in sequence and returns the connections they used. */
   async function connectionsOf(headers: Record<string, string>) {
     const sockets: Socket[] = [];
     const engine = new FakeEngine({
@@ -23,7 +23,7 @@
       },
     });
     const target = await startTestAgent({fakeEngine: engine});
-    stops.push(target.stop);
+    cleanups.push(target.stop);
     for (let sent = 0; sent < 2; sent++) {
       const {response} = await sendAttempt(target, {headers});
       await readUntilCut(response.body);
@@ -31,15 +31,15 @@
     return new Set(sockets);
   }
 
-  it('keeps its connections for requests that may be repeated', async () => {
+  it('reuses a connection for requests that may be repeated', async () => {
     expect((await connectionsOf({})).size).toBe(1);
   });
 
-  // A kept-alive connection that the engine closes just then loses a request,
-  // and nobody knows whether it ran. One that may not be repeated can't be
-  // sent again, so its caller would be told "unknown"; its own connection
+  // If the engine closes a kept-alive connection while a request is sent, it is
+  // unknown whether the request ran. One that must not be repeated can't be
+  // retried, so its caller would receive "unknown". A connection of its own
   // either fails before anything is sent, or is open.
-  it('opens one for each request that may not be repeated', async () => {
+  it('opens one for each request that must not be repeated', async () => {
     const headers = {[HEADERS.idempotencyKey]: 'key'};
     expect((await connectionsOf(headers)).size).toBe(2);
   });
--- a/packages/banyanfold-agent/src/__tests__/fakeEngine.ts
+++ b/packages/banyanfold-agent/src/__tests__/fakeEngine.ts
@@ -15,13 +15,13 @@
 ) => void;
 
 export interface FakeEngineOptions {
-  /** Answers a request; the body was read. */
+  /** Handles a request whose body has been read. */
   onRequest: Handler;
-  /** Answers a resume; 404 when left out. */
+  /** Handles a resume; the response is 404 if omitted. */
   onResume?: Handler;
 }
 
-/** An engine whose answers a test writes itself, byte by byte. */
+/** An HTTP engine whose responses a test writes itself, byte by byte. */
 export class FakeEngine {
   readonly requests: string[] = [];
   readonly cancelled: string[] = [];
@@ -79,14 +79,14 @@
   }
 }
 
-/** One event as an engine sends it. */
+/** Formats one event as an engine sends it. */
 export function event(seq: number, id: string, text: string): string {
   const choice = {index: 0, delta: {content: text}, finish_reason: null};
   const data = JSON.stringify({id, choices: [choice]});
   return `id: ${seq}\ndata: ${data}\n\n`;
 }
 
-/** The event in which the only choice ends. */
+/** Formats the event that finishes the only choice. */
 export function finishEvent(seq: number, id: string): string {
   const choice = {index: 0, delta: {}, finish_reason: 'stop'};
   const data = JSON.stringify({id, choices: [choice]});
--- a/packages/banyanfold-agent/src/__tests__/ledgerWorld.ts
+++ b/packages/banyanfold-agent/src/__tests__/ledgerWorld.ts
@@ -99,7 +99,7 @@
       this.truth.reportLagMs = ms;
     },
     'refuse-loads': ({count}) => {
-      this.truth.refuseLoads = count;
+      this.truth.loadsToRefuse = count;
     },
     log: ({isUp}) => {
       this.logIsUp = isUp;
--- a/packages/banyanfold-agent/src/__tests__/orderEvidence.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/orderEvidence.test.ts
@@ -7,7 +7,7 @@
 import {MemoryLedger} from '../memory/memoryLedger.js';
 
 const ARTIFACT = 'a@1';
-/** Engine clock: the order is received, and its answer leaves after a stall. */
+/** Engine times of an order's arrival and of its response, after a stall. */
 const RECEIVED_AT_MS = 10;
 const ANSWERED_AT_MS = 40;
 
@@ -18,7 +18,7 @@
   await new Promise(resolve => server?.close(resolve));
 });
 
-/** An engine that stalls between receiving an order and carrying it out. */
+/** Starts an engine that stalls between receiving and executing an order. */
 async function startStallingEngine(): Promise<string> {
   server = createServer((request, response) => {
     request.resume().on('end', () => {
@@ -62,7 +62,7 @@
     fencing: () => 7,
     onSuperseded: () => {},
   });
-  const observe = (takenAtMs: number, models: Listed[]) =>
+  const observe = (takenAtMs: number, models: ReportedModel[]) =>
     ledger.observe(
       {
         takenAtMs,
@@ -78,12 +78,12 @@
   return {ledger, orders, observe};
 }
 
-type Listed = Parameters<MemoryLedger['observe']>[0]['models'][number];
+type ReportedModel = Parameters<MemoryLedger['observe']>[0]['models'][number];
 
-// Guards against reports from within an engine's stall: the order was received
-// by then, but not yet carried out, so that what they show is no evidence.
-describe('a report from between an order and its answer', () => {
-  it('frees no bytes of a load that is under way', async () => {
+// Guards against using reports taken while the engine stalls as evidence. The
+// engine has received the order by then, but has not executed it yet.
+describe('a report taken between an order and its response', () => {
+  it('frees no bytes of a load in flight', async () => {
     const {ledger, orders, observe} = await createAgentParts();
     const order = {artifact: ARTIFACT, bytes: 50, orderId: 'o1'};
     ledger.reserveLoad(order);
@@ -94,9 +94,13 @@
     expect(ledger.get(ARTIFACT)).toBeUndefined();
   });
 
-  it('repeats no unload order', async () => {
+  it('does not repeat an unload order', async () => {
     const {orders, observe} = await createAgentParts();
-    const loaded: Listed = {artifact: ARTIFACT, bytes: 50, state: 'loaded'};
+    const loaded: ReportedModel = {
+      artifact: ARTIFACT,
+      bytes: 50,
+      state: 'loaded',
+    };
     observe(3, [loaded]);
     await orders.unload(ARTIFACT, () => 'o1');
     const kinds = (takenAtMs: number) =>
@@ -105,7 +109,7 @@
     expect(kinds(ANSWERED_AT_MS + 1)).toEqual(['unload-ignored']);
   });
 
-  it('ends no quarantine', async () => {
+  it('does not end a quarantine', async () => {
     const {orders} = await createAgentParts();
     const visibleAfterMs = await orders.setRole('desk', 'o1');
     expect(visibleAfterMs).toBe(ANSWERED_AT_MS);
--- a/packages/banyanfold-agent/src/__tests__/orderSender.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/orderSender.test.ts
@@ -61,19 +61,19 @@
   engineNowMs: 9,
 });
 
-// The bytes of a load may be given away only when it is certain that the order
-// was never taken and never will be.
+// The bytes of a load may be freed only when it is certain that the engine
+// never accepted the order and never will.
 describe('load', () => {
   it.each<[string, OrderResult[], string, number]>([
     ['accepted', [accepted], 'reserved', 1],
     ['accepted after lost answers', [lost, lost, accepted], 'reserved', 3],
     ['never answered', [], 'in-doubt', 4],
-    // A late copy of it may find memory free and be accepted.
+    // A delayed duplicate may find free memory and be accepted.
     ['refused', [refused], 'in-doubt', 1],
-    ['overtaken by our own barrier', [stale(7)], 'in-doubt', 1],
-    ['sent into no connection', Array(4).fill(notSent), 'free', 4],
-    ['lost once, then without connection', [lost, notSent], 'in-doubt', 4],
-  ])('leaves an order that was %s', async (_name, answers, state, count) => {
+    ['made stale by our own barrier', [stale(7)], 'in-doubt', 1],
+    ['never sent for lack of a connection', Array(4).fill(notSent), 'free', 4],
+    ['lost once, then not sent', [lost, notSent], 'in-doubt', 4],
+  ])('handles an order that was %s', async (_name, answers, state, count) => {
     const {clock, ledger, orders, sent} = createSender([...answers]);
     void orders.load('a@1', 50, 'o1');
     await clock.advance(10_000);
@@ -82,7 +82,7 @@
     expect(new Set(sent.map(({orderId}) => orderId))).toEqual(new Set(['o1']));
   });
 
-  it('tells when another agent has a higher number', async () => {
+  it('reports another agent with a higher fencing token', async () => {
     const {clock, orders, superseded} = createSender([stale(8)]);
     void orders.load('a@1', 50, 'o1');
     await clock.advance(1_000);
@@ -91,7 +91,7 @@
 });
 
 describe('unload', () => {
-  it('sends the order until it is answered', async () => {
+  it('resends the order until the engine responds', async () => {
     const {clock, orders, sent} = createSender([lost, lost, lost, accepted]);
     void orders.unload('a@1', () => 'u1');
     await clock.advance(60_000);
--- a/packages/banyanfold-agent/src/__tests__/simulatedEngine.ts
+++ b/packages/banyanfold-agent/src/__tests__/simulatedEngine.ts
@@ -6,10 +6,10 @@
   OrderResult,
 } from '../engine/engineSchemas.js';
 
-/** What the way to the engine does to one transmission of an order. */
+/** The network fault that affects one transmission of an order. */
 export type OrderFault = 'none' | 'lost' | 'answer-lost' | 'late' | 'twice';
 
-interface Model {
+interface ModelState {
   bytes: number;
   state: 'loading' | 'loaded' | 'unloading';
 }
@@ -18,7 +18,7 @@
   clock: Clock;
   checksFencing: boolean;
   capacityBytes: number;
-  /** No order is later than this. */
+  /** Upper bound for the delay of an order. */
   lateBoundMs: number;
 }
 
@@ -28,21 +28,23 @@
 const UNLOAD_MS = 25;
 const CLOCK_OFFSET_MS = 5_000_000;
 
-/** An engine that commits whatever it is told, and notes what was too much. */
+/**
+ * A simulated engine that executes every order and records memory overcommit.
+ */
 export class SimulatedEngine {
   readonly violations: string[] = [];
   faults: Array<{fault: OrderFault; lateMs: number}> = [];
   reportLagMs = 0;
-  /** The weight store refuses so many of the next loads. */
-  refuseLoads = 0;
-  private readonly models = new Map<string, Model>();
+  /** How many of the next loads the weight store refuses. */
+  loadsToRefuse = 0;
+  private readonly models = new Map<string, ModelState>();
   private readonly requests = new Map<string, number>();
   private readonly accepted = new Map<string, number>();
   private readonly history: EngineReport[] = [];
   private highestFencing = 0;
 
   constructor(private readonly options: SimulatedEngineOptions) {
-    this.changed();
+    this.recordState();
   }
 
   nowMs(): number {
@@ -57,19 +59,19 @@
 
   beginRequest(key: string, kvBytes: number): void {
     this.requests.set(key, kvBytes);
-    this.changed();
+    this.recordState();
   }
 
   endRequest(key: string): void {
     this.requests.delete(key);
-    this.changed();
+    this.recordState();
   }
 
   openRequests(): string[] {
     return [...this.requests.keys()];
   }
 
-  /** A report as the agent gets it: of a while ago, but answered now. */
+  /** Returns the report of `reportLagMs` ago with the current engine time. */
   async report() {
     const askedAtMs = this.options.clock.nowMs();
     const atMs = this.nowMs() - this.reportLagMs;
@@ -114,7 +116,7 @@
       return {kind: 'refused', code: refusal, engineNowMs: receivedAtMs};
     }
     this.accepted.set(order.orderId, receivedAtMs);
-    this.changed();
+    this.recordState();
     return {kind: 'accepted', visibleAfterMs: receivedAtMs};
   }
 
@@ -131,15 +133,15 @@
     const present = this.models.get(artifact);
     if (present?.state === 'unloading') return 'unloading';
     if (present) return undefined;
-    const model: Model = {bytes, state: 'loading'};
+    const model: ModelState = {bytes, state: 'loading'};
     this.models.set(artifact, model);
-    const isRefused = this.refuseLoads > 0;
-    if (isRefused) this.refuseLoads--;
+    const isRefused = this.loadsToRefuse > 0;
+    if (isRefused) this.loadsToRefuse--;
     this.options.clock.setTimer(LOAD_MS, () => {
       if (model.state !== 'loading') return;
       if (isRefused) this.models.delete(artifact);
       else model.state = 'loaded';
-      this.changed();
+      this.recordState();
     });
     return undefined;
   }
@@ -150,11 +152,11 @@
     model.state = 'unloading';
     this.options.clock.setTimer(UNLOAD_MS, () => {
       this.models.delete(artifact);
-      this.changed();
+      this.recordState();
     });
   }
 
-  private changed(): void {
+  private recordState(): void {
     const kvUsedBytes = [...this.requests.values()].reduce((a, b) => a + b, 0);
     const committedBytes = this.weightBytes() + kvUsedBytes;
     const {capacityBytes} = this.options;
