--- a/packages/banyanfold-agent/src/http/agentServer.ts
+++ b/packages/banyanfold-agent/src/http/agentServer.ts
@@ -175,7 +175,7 @@
   return new BanyanfoldError(
     isPortInUse ? 'port-in-use' : 'listen-failed',
     isPortInUse
-      ? 'the port is in use; only one agent may run beside an engine'
+      ? 'the port is in use; only one agent may run per engine'
       : error.message,
     {step: 'listen', peer: `self ${host}:${port}`},
     {cause: error},
