--- a/packages/banyanfold-gateway/src/__tests__/controlRates.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/controlRates.test.ts
@@ -8,16 +8,16 @@
 
 /** Reports asked for over some seconds, by runner. */
 function play(runners: number, perSecond: number, forMs: number): number[] {
-  const askedMs = new Map<number, number>();
+  const lastRequestedMs = new Map<number, number>();
   const counts = Array.from({length: runners}, () => 0);
   for (let nowMs = 0; nowMs < forMs; nowMs += OPTIONS.tickMs) {
     const states = counts.map((_count, key) => ({
       key,
-      askedMs: askedMs.get(key),
+      lastRequestedMs: lastRequestedMs.get(key),
       isAwaited: false,
     }));
     for (const key of dueReports(states, nowMs, {...OPTIONS, perSecond})) {
-      askedMs.set(key, nowMs);
+      lastRequestedMs.set(key, nowMs);
       counts[key]! += 1;
     }
   }
@@ -40,8 +40,8 @@
 
   it('asks at once where an order is to be over', () => {
     const states = [
-      {key: 'done', askedMs: 800, isAwaited: true},
-      {key: 'idle', askedMs: 800, isAwaited: false},
+      {key: 'done', lastRequestedMs: 800, isAwaited: true},
+      {key: 'idle', lastRequestedMs: 800, isAwaited: false},
     ];
     const due = dueReports(states, 950, {...OPTIONS, perSecond: 1});
     expect(due).toEqual(['done']);
--- a/packages/banyanfold-gateway/src/__tests__/fleetOutcomes.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/fleetOutcomes.test.ts
@@ -30,7 +30,7 @@
 /** Reports of ten entries, each of which saw one answer of every runner. */
 function noteEntries(failures: Readonly<Record<string, number>>): void {
   for (let entry = 0; entry < 10; entry++) {
-    outcomes.note(
+    outcomes.record(
       RUNNERS.map(runnerId => {
         const failed = entry < (failures[runnerId] ?? 0) ? 1 : 0;
         return {
@@ -47,30 +47,30 @@
   // Guards against callers that fail at a runner which no entry alone can tell.
   it('names a runner that fails, from one answer at each entry', async () => {
     noteEntries({r2: 6});
-    expect(outcomes.tell()).toEqual({r2: 2_000});
+    expect(outcomes.ejections()).toEqual({r2: 2_000});
     await clock.advance(1_500);
-    expect(outcomes.tell()).toEqual({r2: 500});
+    expect(outcomes.ejections()).toEqual({r2: 500});
     await clock.advance(600);
-    expect(outcomes.tell()).toEqual({});
+    expect(outcomes.ejections()).toEqual({});
   });
 
   // Guards against a fleet that leaves out the runners of a fault that is everywhere.
   it('names none while all fail alike', () => {
     noteEntries(Object.fromEntries(RUNNERS.map(id => [id, 6])));
-    expect(outcomes.tell()).toEqual({});
+    expect(outcomes.ejections()).toEqual({});
   });
 
   it('names two of five at most', () => {
     noteEntries({r1: 9, r2: 8});
-    expect(Object.keys(outcomes.tell())).toEqual(['r1', 'r2']);
+    expect(Object.keys(outcomes.ejections())).toEqual(['r1', 'r2']);
     noteEntries({r3: 9, r4: 9});
-    expect(Object.keys(outcomes.tell())).toHaveLength(2);
+    expect(Object.keys(outcomes.ejections())).toHaveLength(2);
   });
 
   it('forgets answers of some seconds ago', async () => {
     noteEntries({r2: 6});
     await clock.advance(6_000);
     noteEntries({});
-    expect(outcomes.tell()).toEqual({});
+    expect(outcomes.ejections()).toEqual({});
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/fleetView.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/fleetView.test.ts
@@ -44,7 +44,7 @@
     const view = createView();
     view.onConfig(config(7));
     view.onConfig(config(4));
-    expect(view.current?.version).toBe(7);
+    expect(view.currentConfig?.version).toBe(7);
   });
 
   // Guards against a version of a peer that counts as the newest one.
--- a/packages/banyanfold-gateway/src/__tests__/gatewayServer.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/gatewayServer.test.ts
@@ -28,7 +28,7 @@
     view: {
       isReady: true,
       onChange: () => () => {},
-      route: () => (hasRoute ? {name: 'letter'} : undefined),
+      findRoute: () => (hasRoute ? {name: 'letter'} : undefined),
       isConfigConfirmed: () => isConfigConfirmed,
     },
     refreshConfig: () => {
--- a/packages/banyanfold-gateway/src/__tests__/holderLink.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/holderLink.test.ts
@@ -170,7 +170,7 @@
     await clock.advance(300);
     answer = {kind: 'not-holder'};
     const arrival = {model: 'm1', promptTokens: 10, maxOutputTokens: 1};
-    demand.noteArrival({...arrival, urgency: 1});
+    demand.recordArrival({...arrival, urgency: 1});
     await clock.advance(600);
     answer = TOLD;
     await clock.advance(600);
--- a/packages/banyanfold-gateway/src/__tests__/holder.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/leaseHolder.test.ts
@@ -5,7 +5,7 @@
 import {CrashLedger} from '../crashes/crashLedger.js';
 import {DEFAULT_OPTIONS} from '../options.js';
 import type {ExchangeInput} from '../peers/peerContract.js';
-import {Holder} from '../placement/holder.js';
+import {LeaseHolder} from '../placement/leaseHolder.js';
 import {LoadRate} from '../placement/loadRate.js';
 import {RunnerController} from '../placement/runnerController.js';
 import type {
@@ -80,19 +80,19 @@
   }
 }
 
-function holderAt(clock: VirtualClock): Holder {
+function holderAt(clock: VirtualClock): LeaseHolder {
   return holderWith(clock, {} as RunnerControl).holder;
 }
 
 function holderWith(
   clock: VirtualClock,
   control: RunnerControl,
-): {holder: Holder; view: FleetView} {
+): {holder: LeaseHolder; view: FleetView} {
   const logger = new MemoryLogger();
   const view = new FleetView(clock, logger);
   const state = {isHolder: true, owns: true, fencingToken: 1, term: 1};
   const lease = {current: () => state};
-  const holder = new Holder({
+  const holder = new LeaseHolder({
     clock,
     logger,
     metrics: new Metrics(),
@@ -138,7 +138,7 @@
 
 /** Whether the holder tells an entry to stand by for the lease. */
 function isToldToStandBy(
-  holder: Holder,
+  holder: LeaseHolder,
   entry: string,
   processorShare: number,
 ): boolean {
--- a/packages/banyanfold-gateway/src/__tests__/leaseKeeper.model.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/leaseManager.model.test.ts
@@ -2,7 +2,7 @@
 import {err, ok} from 'neverthrow';
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {LeaseKeeper} from '../placement/leaseKeeper.js';
+import {LeaseManager} from '../placement/leaseManager.js';
 import type {LeaseStore} from '../types.js';
 
 const TTL_MS = 1_000;
@@ -100,7 +100,7 @@
 class Process {
   isFrozen = false;
   frozenMs = 0;
-  readonly keeper: LeaseKeeper;
+  readonly keeper: LeaseManager;
   readonly logger = new MemoryLogger();
   private held: Array<() => void> = [];
 
@@ -110,7 +110,7 @@
     fenced: boolean,
   ) {
     const {clock, store} = world;
-    this.keeper = new LeaseKeeper({
+    this.keeper = new LeaseManager({
       clock: {
         nowMs: () => clock.nowMs() - this.frozenMs,
         wallMs: () => clock.wallMs(),
@@ -128,7 +128,7 @@
       contactMs: CONTACT_MS,
       areRunnersFenced: fenced,
       isFirstStart: false,
-      askFormer: async (address, generation) => {
+      queryFormerHolder: async (address, generation) => {
         const former = world.processes.find(p => p.name === address);
         if (!former || former.isFrozen) return undefined;
         const isOutOfTouch = former.keeper.yieldTo(generation);
--- a/packages/banyanfold-gateway/src/__tests__/loadRate.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/loadRate.test.ts
@@ -4,9 +4,9 @@
 describe('LoadRate', () => {
   it('allows the rate over a sliding window', () => {
     const rate = new LoadRate(5_000, 0);
-    for (let i = 0; i < 10; i++) rate.note(i * 100);
-    expect(rate.left(2, 1_000)).toBe(0);
-    expect(rate.left(2, 5_050)).toBe(1);
+    for (let i = 0; i < 10; i++) rate.record(i * 100);
+    expect(rate.remaining(2, 1_000)).toBe(0);
+    expect(rate.remaining(2, 5_050)).toBe(1);
   });
 
   it('goes on for the next holder with what the one before began', () => {
@@ -14,11 +14,11 @@
     // are allowed and is replaced, and the next one, which has begun none, does
     // the same within the same window.
     const former = new LoadRate(5_000, 0);
-    for (let i = 0; i < 10; i++) former.note(0);
+    for (let i = 0; i < 10; i++) former.record(0);
     const next = new LoadRate(5_000, 0);
-    next.learn(former.agesMs(1_000), 70_000);
-    expect(next.left(2, 70_100)).toBe(0);
-    expect(next.left(2, 74_100)).toBe(10);
+    next.restore(former.loadAgesMs(1_000), 70_000);
+    expect(next.remaining(2, 70_100)).toBe(0);
+    expect(next.remaining(2, 74_100)).toBe(10);
   });
 
   it('stays under the bound of the store through two starts within a window', () => {
@@ -29,8 +29,8 @@
       const begun = [0, 100, 200].map((startedMs, i) => {
         const rate = new LoadRate(5_000, i === 0 ? 0 : startedMs + 5_000);
         let count = 0;
-        while (rate.left(loadsPerSecond, startedMs) > 0) {
-          rate.note(startedMs);
+        while (rate.remaining(loadsPerSecond, startedMs) > 0) {
+          rate.record(startedMs);
           count += 1;
         }
         return count;
@@ -43,13 +43,13 @@
 
   it('begins at the full rate only once it has heard or the window is over', () => {
     const rate = new LoadRate(5_000, 5_000);
-    expect(rate.left(2, 100)).toBe(2);
-    rate.note(100);
-    rate.note(100);
-    expect(rate.left(2, 4_900)).toBe(0);
-    expect(rate.left(2, 5_200)).toBe(10);
+    expect(rate.remaining(2, 100)).toBe(2);
+    rate.record(100);
+    rate.record(100);
+    expect(rate.remaining(2, 4_900)).toBe(0);
+    expect(rate.remaining(2, 5_200)).toBe(10);
     const told = new LoadRate(5_000, 5_000);
-    told.learn([1_000, 2_000], 100);
-    expect(told.left(2, 200)).toBe(8);
+    told.restore([1_000, 2_000], 100);
+    expect(told.remaining(2, 200)).toBe(8);
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/ownRefusals.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/ownRefusals.test.ts
@@ -24,13 +24,13 @@
     clock,
     logger,
     cutOffMs: () => cutOffMs,
-    held: {copyInMs: () => copyInMs, ageMs: 120},
+    held: {copyDelayMs: () => copyInMs, ageMs: 120},
     states: {
       workAhead: () => workAhead,
       workPerSecond: () => 40,
       openRequests: () => 0,
     },
-    view: {runner: () => undefined, current: undefined},
+    view: {runner: () => undefined, currentConfig: undefined},
   } as unknown as GatewayContext;
 });
 
--- a/packages/banyanfold-gateway/src/__tests__/promptGate.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/promptGate.test.ts
@@ -1,6 +1,6 @@
 import {VirtualClock} from '@banyanfold/core';
 import {beforeEach, describe, expect, it} from 'vitest';
-import {PromptGate, type PromptTurn} from '../runners/promptGate.js';
+import {PromptGate, type PromptPermit} from '../runners/promptGate.js';
 
 const FIRST_WINDOW = 4;
 
@@ -14,15 +14,15 @@
   went = [];
 });
 
-function enter(name: string, priority = 1, startedMs = 0): PromptTurn {
-  const turn = gate.enter('r1', priority, startedMs);
-  void turn.come.then(mayGo => {
+function enter(name: string, priority = 1, startedMs = 0): PromptPermit {
+  const turn = gate.acquire('r1', priority, startedMs);
+  void turn.granted.then(mayGo => {
     if (mayGo) went.push(name);
   });
   return turn;
 }
 
-function fill(): PromptTurn[] {
+function fill(): PromptPermit[] {
   const names = Array.from({length: FIRST_WINDOW}, (_, i) => `first-${i}`);
   return names.map(name => enter(name));
 }
@@ -34,7 +34,7 @@
     enter('early', 1, 200);
     enter('urgent', 0, 400);
     for (const turn of [first!, second!, third!]) {
-      turn.giveBack();
+      turn.release();
       await clock.advance(1);
     }
     expect(went.slice(FIRST_WINDOW)).toEqual(['urgent', 'early', 'late']);
@@ -46,8 +46,8 @@
     const [first] = fill();
     enter('next');
     enter('after');
-    first!.giveBack();
-    first!.giveBack();
+    first!.release();
+    first!.release();
     await clock.advance(1);
     expect(went.slice(FIRST_WINDOW)).toEqual(['next']);
   });
@@ -56,10 +56,10 @@
     const [first] = fill();
     const left = enter('left');
     const waited = enter('waited');
-    left.giveBack();
-    expect(await left.come).toBe(false);
-    waited.goAhead();
-    first!.giveBack();
+    left.release();
+    expect(await left.granted).toBe(false);
+    waited.grantNow();
+    first!.release();
     await clock.advance(1);
     expect(went.slice(FIRST_WINDOW)).toEqual(['waited']);
   });
@@ -72,7 +72,7 @@
     expect(gate.isStalled('r1')).toBe(false);
     await clock.advance(200);
     expect(gate.isStalled('r1')).toBe(true);
-    turns[0]!.giveBack();
+    turns[0]!.release();
     expect(gate.isStalled('r1')).toBe(false);
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/rateLimitFleet.ts
+++ b/packages/banyanfold-gateway/src/__tests__/rateLimitFleet.ts
@@ -4,7 +4,7 @@
 import {
   RunnerRateLimits,
   type FleetRateLimit,
-  type ToldRateLimit,
+  type KnownRateLimit,
 } from '../runners/runnerRateLimits.js';
 
 const RUNNER = 'r1';
@@ -58,7 +58,7 @@
 
 interface Report {
   atMs: number;
-  limits: ToldRateLimit[];
+  limits: KnownRateLimit[];
   uses: RateUse[];
 }
 
@@ -92,7 +92,7 @@
     const {limits, words} = entry;
     reports.push({
       atMs: nowMs + delayMs,
-      limits: limits.toldLimits().map(limit => ({
+      limits: limits.reportedLimits().map(limit => ({
         ...limit,
         ageMs: limit.ageMs + delayMs,
       })),
@@ -100,19 +100,23 @@
     });
     while (reports.length > 0 && reports[0]!.atMs <= nowMs) {
       const report = reports.shift()!;
-      holder.noteLimits(report.limits);
-      holder.noteUse(report.uses);
+      holder.recordLimits(report.limits);
+      holder.recordUse(report.uses);
     }
-    words.push({atMs: nowMs + delayMs, toldMs: nowMs, limits: holder.tell()});
+    words.push({
+      atMs: nowMs + delayMs,
+      toldMs: nowMs,
+      limits: holder.snapshot(),
+    });
     while (words.length > 0 && words[0]!.atMs <= nowMs) {
       const word = words.shift()!;
-      limits.tell(word.limits, nowMs - word.toldMs, isRelayed);
+      limits.applyFleetLimits(word.limits, nowMs - word.toldMs, isRelayed);
     }
-    limits.keepOnly(() => true);
+    limits.prune(() => true);
   };
 
   const send = (entry: Entry, isCounted: boolean, nowMs: number) => {
-    if (entry.limits.take(RUNNER).kind === 'refuse') return;
+    if (entry.limits.acquire(RUNNER).kind === 'refuse') return;
     sent.push({atMs: nowMs, isCounted});
     const isLimited = nowMs < limitedUntilMs;
     const facts = {
@@ -122,7 +126,7 @@
       encoded: false,
       requestsPerSecond: isLimited ? play.limitPerSecond : undefined,
     };
-    entry.limits.noteAnswer(RUNNER, facts, nowMs);
+    entry.limits.recordAnswer(RUNNER, facts, nowMs);
   };
 
   for (let nowMs = 0; nowMs < forMs; nowMs += STEP_MS) {
--- a/packages/banyanfold-gateway/src/__tests__/reportAsker.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/reportPoller.test.ts
@@ -2,7 +2,7 @@
 import {ok} from 'neverthrow';
 import {describe, expect, it} from 'vitest';
 import {DEFAULT_OPTIONS} from '../options.js';
-import {REPORT_TICK_MS, ReportAsker} from '../placement/reportAsker.js';
+import {REPORT_TICK_MS, ReportPoller} from '../placement/reportPoller.js';
 import type {RunnerController} from '../placement/runnerController.js';
 import type {RunnerControl, RunnerReport} from '../types.js';
 
@@ -23,7 +23,7 @@
       return ok({} as RunnerReport);
     },
   } as unknown as RunnerControl;
-  const asker = new ReportAsker({
+  const asker = new ReportPoller({
     clock,
     logger: new MemoryLogger(),
     control,
@@ -36,15 +36,15 @@
     return {
       registration: {runnerId, address: 'runner'},
       isReachable: true,
-      awaitsReport: index < awaited,
-      get isKnown() {
+      isReportDue: index < awaited,
+      get isReady() {
         return known.has(runnerId);
       },
     } as RunnerController;
   });
   const runFor = async (forMs: number) => {
     for (let atMs = 0; atMs < forMs; atMs += REPORT_TICK_MS) {
-      asker.askDue(controllers);
+      asker.pollDue(controllers);
       await clock.advance(REPORT_TICK_MS);
     }
   };
--- a/packages/banyanfold-gateway/src/__tests__/runnerConnections.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/runnerConnections.test.ts
@@ -41,7 +41,7 @@
         onRequestStart: () => setImmediate(stayBusy),
         onResponseStart: () => {},
         onResponseData: () => {},
-        onResponseEnd: () => resolve(connection.endedInOrder()),
+        onResponseEnd: () => resolve(connection.endedCleanly()),
         onResponseError: () => resolve(false),
       },
     );
--- a/packages/banyanfold-gateway/src/__tests__/runnerController.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/runnerController.test.ts
@@ -94,7 +94,7 @@
 describe('the orders to one runner', () => {
   it('wait until the number of its orders is known', async () => {
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
-    controller.noteReport(report({orderNumber: 4}), 0);
+    controller.applyReport(report({orderNumber: 4}), 0);
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(true);
     expect(orders).toMatchObject([{adapter: 'a1', expectedOrderNumber: 4}]);
   });
@@ -103,7 +103,7 @@
     // A runner must never be overfilled. An order gets no answer and may be
     // carried out seconds later; the one after it names the same number, so
     // that the runner takes whichever comes first and refuses the other.
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     answers = ['lost'];
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     await controller.ensureAdapter('m1', 'a2', SLOTS);
@@ -114,24 +114,24 @@
   it('tell of a runner that leaves them unanswered, or that is another one by now', async () => {
     // Callers would wait for a load at a runner that is about to go, or that is
     // gone while its registration lasts and another one answers at its address.
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     const load = {kind: 'load', model: 'm2', reason: 'x'} as const;
     answers = ['lost', 'other-runner'];
     await controller.orderModel(load, 100);
-    expect(controller.isSilent).toBe(true);
+    expect(controller.isUnresponsive).toBe(true);
     expect(controller.isReachable).toBe(true);
     await controller.orderModel(load, 100);
-    controller.noteReport(report(), clock.nowMs());
+    controller.applyReport(report(), clock.nowMs());
     expect(controller.isReachable).toBe(false);
     await clock.advance(5_000);
     expect(controller.isReachable).toBe(true);
-    expect(controller.isSilent).toBe(false);
+    expect(controller.isUnresponsive).toBe(false);
   });
 
   it('are kept when a report from before them comes', async () => {
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     await controller.ensureAdapter('m1', 'a1', SLOTS);
-    controller.noteReport(report({orderNumber: 0}), clock.nowMs());
+    controller.applyReport(report({orderNumber: 0}), clock.nowMs());
     expect(controller.servingAdapters()).toEqual(['m1/a1']);
   });
 
@@ -139,12 +139,12 @@
     // All orders would be refused for good: an order that was under way already
     // was answered like a new one and counted twice. A report that was asked
     // for long after the last order counts, whatever its number.
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     await controller.orderModel({kind: 'load', model: 'm2', reason: 'x'}, 100);
     await controller.orderModel({kind: 'load', model: 'm2', reason: 'x'}, 100);
     await clock.advance(SETTLED_MS);
     const models = [...held(), {name: 'm2', version: 1, adapters: []}];
-    controller.noteReport(report({orderNumber: 1, models}), clock.nowMs());
+    controller.applyReport(report({orderNumber: 1, models}), clock.nowMs());
     await controller.ensureAdapter('m2', 'a1', SLOTS);
     expect(orders.at(-1)?.expectedOrderNumber).toBe(1);
   });
@@ -153,14 +153,14 @@
     // Callers of all adapters at this runner would wait for good. The number is
     // one too high, each order is refused, and an order every 200 ms made every
     // report look as if it came from before the last order.
-    controller.noteReport(report({orderNumber: 1}), 0);
+    controller.applyReport(report({orderNumber: 1}), 0);
     await controller.ensureAdapter('m1', 'a1', SLOTS);
     for (let i = 0; i < 8; i++) {
       answers = ['conflict'];
       await controller.ensureAdapter('m1', `b${i}`, SLOTS);
       await clock.advance(200);
       const models = held('a1');
-      controller.noteReport(report({orderNumber: 1, models}), clock.nowMs());
+      controller.applyReport(report({orderNumber: 1, models}), clock.nowMs());
     }
     expect(await controller.ensureAdapter('m1', 'a2', SLOTS)).toBe(true);
     expect(orders.at(-1)?.expectedOrderNumber).toBe(1);
@@ -170,7 +170,7 @@
     // All later orders would name a number that the runner never reached. The
     // load of an adapter gets no answer and did not happen; its unload is
     // answered as if it had gone at once, which would count as an order.
-    controller.noteReport(report({models: held('a1')}), 0);
+    controller.applyReport(report({models: held('a1')}), 0);
     answers = ['lost'];
     expect(await controller.ensureAdapter('m1', 'a2', SLOTS)).toBe(false);
     inUse = new Set(['m1/a1']);
@@ -179,7 +179,7 @@
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(false);
     expect(orders).toHaveLength(2);
     await clock.advance(SETTLED_MS);
-    controller.noteReport(report({models: held('a1')}), clock.nowMs());
+    controller.applyReport(report({models: held('a1')}), clock.nowMs());
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
     expect(orders.at(-1)).toMatchObject({
       adapter: 'a3',
@@ -192,47 +192,47 @@
     // happened; the lease went to another process and came back long after. The
     // number of orders is still the same, and the memory that the unload was to
     // free is not.
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     answers = ['lost'];
     await controller.orderModel({kind: 'unload', model: 'm1', reason: 'x'}, 0);
     await clock.advance(60_000);
     term = 2;
-    expect(controller.isKnown).toBe(false);
+    expect(controller.isReady).toBe(false);
     const load = {kind: 'load', model: 'm2', reason: 'x'} as const;
     expect(await controller.orderModel(load, 0)).toBe('refused');
     expect(orders).toHaveLength(1);
-    controller.noteReport(report(), clock.nowMs());
-    expect(controller.isKnown).toBe(true);
+    controller.applyReport(report(), clock.nowMs());
+    expect(controller.isReady).toBe(true);
     expect([...controller.models]).toEqual(['m1']);
   });
 
   it('are not undone by a report while a model goes', async () => {
     // Callers are sent to a runner that refuses them: its unload waits for the
     // runs under way, and reports name the model as held until then.
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     await controller.orderModel({kind: 'unload', model: 'm1', reason: 'x'}, 0);
     await clock.advance(SETTLED_MS);
-    controller.noteReport(report({orderNumber: 1, busy: true}), clock.nowMs());
+    controller.applyReport(report({orderNumber: 1, busy: true}), clock.nowMs());
     expect(controller.servingModels()).toEqual([]);
-    controller.noteReport(report({orderNumber: 1}), clock.nowMs());
+    controller.applyReport(report({orderNumber: 1}), clock.nowMs());
     expect(controller.servingModels()).toEqual(['m1']);
   });
 
   it('stop while a load of the holder before is under way', async () => {
     // A second load after the first would overfill the runner: the first one
     // takes memory that shows in no report until it is over.
-    controller.noteReport(report({busy: true, orderNumber: 3}), 0);
+    controller.applyReport(report({busy: true, orderNumber: 3}), 0);
     expect(controller.isBusy).toBe(true);
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     expect(orders).toEqual([]);
-    controller.noteReport(report({orderNumber: 3}), clock.nowMs());
+    controller.applyReport(report({orderNumber: 3}), clock.nowMs());
     expect(controller.isBusy).toBe(false);
   });
 
   it('make a place by what was unused longest', async () => {
-    controller.noteReport(report({models: held('a1', 'a2')}), 0);
+    controller.applyReport(report({models: held('a1', 'a2')}), 0);
     await clock.advance(SETTLED_MS);
-    controller.noteUse('m1', 'a1');
+    controller.recordAdapterUse('m1', 'a1');
     answers = ['holds'];
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
     expect(orders).toMatchObject([
@@ -245,9 +245,9 @@
     // Callers of other adapters would wait for seconds: a runner that is to
     // drop an adapter in use carries that order out until the runs are over,
     // and refuses all others meanwhile. The longest unused one that is free goes.
-    controller.noteReport(report({models: held('a1', 'a2')}), 0);
+    controller.applyReport(report({models: held('a1', 'a2')}), 0);
     await clock.advance(SETTLED_MS);
-    controller.noteUse('m1', 'a2');
+    controller.recordAdapterUse('m1', 'a2');
     await clock.advance(SETTLED_MS);
     inUse = new Set(['m1/a1']);
     answers = ['holds'];
@@ -262,19 +262,19 @@
   it('count a place as taken until an adapter in use is gone', async () => {
     // The runner would be overfilled: an adapter in use goes only when its runs
     // are over, and a load into its place before that is one too many.
-    controller.noteReport(report({models: held('a1', 'a2')}), 0);
+    controller.applyReport(report({models: held('a1', 'a2')}), 0);
     await clock.advance(SETTLED_MS);
     answers = ['accepted', 'accepted'];
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(false);
     expect(orders.every(({kind}) => kind === 'unload')).toBe(true);
     await clock.advance(SETTLED_MS);
     const models = held('a2');
-    controller.noteReport(report({orderNumber: 2, models}), clock.nowMs());
+    controller.applyReport(report({orderNumber: 2, models}), clock.nowMs());
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
   });
 
   it('take nothing away that was asked for a moment ago', async () => {
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     await controller.ensureAdapter('m1', 'a1', SLOTS);
     await controller.ensureAdapter('m1', 'a2', SLOTS);
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(false);
@@ -282,7 +282,7 @@
   });
 
   it('end where the lease does, and tell it of a higher token', async () => {
-    controller.noteReport(report(), 0);
+    controller.applyReport(report(), 0);
     isHolder = false;
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     expect(orders).toEqual([]);
--- a/packages/banyanfold-gateway/src/__tests__/runnerRateLimits.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/runnerRateLimits.test.ts
@@ -131,12 +131,12 @@
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
-    limits.noteAnswer('r1', answer(1), 900);
+    limits.recordAnswer('r1', answer(1), 900);
     await clock.advance(1_000);
-    limits.noteAnswer('r1', answer(), 800);
-    expect(limits.take('r1').kind).not.toBe('unlimited');
-    limits.noteAnswer('r1', answer(), 1_900);
-    expect(limits.take('r1').kind).toBe('unlimited');
+    limits.recordAnswer('r1', answer(), 800);
+    expect(limits.acquire('r1').kind).not.toBe('unlimited');
+    limits.recordAnswer('r1', answer(), 1_900);
+    expect(limits.acquire('r1').kind).toBe('unlimited');
   });
 
   // Guards against a limit that grows younger each time that it is told.
@@ -145,11 +145,11 @@
     const limits = createLimits(clock);
     await clock.advance(1_000);
     const use = {used: 0, askedPerSecond: 0};
-    limits.tell({r1: {perSecond: 1, ageMs: 20, ...use}}, 0, false);
-    expect(limits.take('r1').kind).not.toBe('unlimited');
-    expect(limits.toldLimits()).toEqual([]);
-    limits.noteAnswer('r1', answer(1), 900);
-    expect(limits.toldLimits()).toEqual([
+    limits.applyFleetLimits({r1: {perSecond: 1, ageMs: 20, ...use}}, 0, false);
+    expect(limits.acquire('r1').kind).not.toBe('unlimited');
+    expect(limits.reportedLimits()).toEqual([]);
+    limits.recordAnswer('r1', answer(1), 900);
+    expect(limits.reportedLimits()).toEqual([
       {runnerId: 'r1', perSecond: 1, ageMs: 0},
     ]);
   });
@@ -159,12 +159,12 @@
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
-    limits.noteAnswer('r1', answer(1), 900);
+    limits.recordAnswer('r1', answer(1), 900);
     await clock.advance(50);
     // The way there and back took 10 ms.
     const use = {used: 0, askedPerSecond: 0};
-    limits.tell({r1: {perSecond: 1, ageMs: 40, ...use}}, 0, false);
-    expect(limits.toldLimits()).toEqual([
+    limits.applyFleetLimits({r1: {perSecond: 1, ageMs: 40, ...use}}, 0, false);
+    expect(limits.reportedLimits()).toEqual([
       {runnerId: 'r1', perSecond: 1, ageMs: 50},
     ]);
   });
@@ -174,11 +174,11 @@
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
-    limits.noteAnswer('r1', answer(1), 900);
+    limits.recordAnswer('r1', answer(1), 900);
     await clock.advance(6_000);
-    limits.noteAnswer('r1', answer(), 2_000);
-    limits.keepOnly(() => true);
-    expect(limits.toldLimits()).toEqual([
+    limits.recordAnswer('r1', answer(), 2_000);
+    limits.prune(() => true);
+    expect(limits.reportedLimits()).toEqual([
       {runnerId: 'r1', perSecond: undefined, ageMs: 5_000},
     ]);
   });
--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -16,7 +16,7 @@
 import type {LeaseHandover, PeerHandlers} from './peers/peerContract.js';
 import {PeerServer} from './peers/peerServer.js';
 import {DemandMeter} from './placement/demandMeter.js';
-import {Holder} from './placement/holder.js';
+import {LeaseHolder} from './placement/leaseHolder.js';
 import {LoadRate} from './placement/loadRate.js';
 import {repeatEvery} from './repeatEvery.js';
 import {createMetricsServer, createReadinessServer} from './readinessServer.js';
@@ -99,7 +99,7 @@
   private readonly readiness: Server;
   private readonly metricsServer: Server;
   private readonly peers: PeerServer;
-  private readonly holder: Holder;
+  private readonly holder: LeaseHolder;
   private readonly link: HolderLink;
   private readonly quarantine: QuarantineKeeper;
   private readonly configs: ConfigFetcher;
@@ -127,9 +127,9 @@
       entries: () => this.entries,
     });
     this.view.onRestart(runnerId => {
-      states.noteRestart(runnerId);
-      held.noteRestart(runnerId);
-      rateLimits.noteRestart(runnerId);
+      states.handleRestart(runnerId);
+      held.handleRestart(runnerId);
+      rateLimits.handleRestart(runnerId);
     });
     const usage = new UsageAccounts({
       clock,
@@ -163,7 +163,7 @@
     this.configs = new ConfigFetcher({
       clock,
       logger,
-      version: () => this.view.current?.version ?? 0,
+      version: () => this.view.currentConfig?.version ?? 0,
       ask: peer => askConfig(peer, options.peerTimeoutMs),
       take: record => parts.fleet.takeConfig(record),
     });
@@ -172,7 +172,7 @@
       parts.fleet.refreshConfig();
       this.configs.noteNewer(version, peer);
     };
-    this.holder = new Holder({
+    this.holder = new LeaseHolder({
       clock,
       logger,
       metrics,
@@ -216,7 +216,7 @@
       rateLimits,
       held,
       loadRate,
-      configVersion: () => this.view.current?.version ?? 0,
+      configVersion: () => this.view.currentConfig?.version ?? 0,
       onNewerConfig,
       runnersChange: () => parts.fleet.runnersChange,
       onConfigCurrent: atMs => this.view.onConfigCurrent(atMs),
@@ -298,7 +298,7 @@
     const {peers} = this.parts.settings;
     const own = `${peers.host}:${peers.port}`;
     const {peerTimeoutMs} = this.context.options;
-    for (const address of this.holder.peers()) {
+    for (const address of this.holder.activeEntryAddresses()) {
       if (address === own) continue;
       if (await offerLease(address, handover, peerTimeoutMs)) return address;
     }
@@ -414,11 +414,16 @@
   private addGauges(): void {
     const {clock, metrics, lease} = this.parts;
     const sinceMs = (atMs: number) => Math.round(clock.nowMs() - atMs);
-    metrics.gauge('config_version', () => this.view.current?.version ?? 0);
+    metrics.gauge(
+      'config_version',
+      () => this.view.currentConfig?.version ?? 0,
+    );
     metrics.gauge('config_heard_age_ms', () =>
       Math.round(this.view.configAgeMs ?? sinceMs(0)),
     );
-    metrics.gauge('runners_heard_age_ms', () => sinceMs(this.view.runnersAtMs));
+    metrics.gauge('runners_heard_age_ms', () =>
+      sinceMs(this.view.runnersReadMs),
+    );
     metrics.gauge('runners_known', () => [...this.view.allRunners()].length);
     metrics.gauge('open_requests', () => this.callers.openRequests);
     metrics.gauge('runner_connections_opened', () => {
@@ -435,10 +440,10 @@
     this.parts.metrics.observeMs('loop_delay_ms', Math.max(0, lateMs));
     this.tidiedMs = nowMs;
 
-    this.context.states.judge();
-    this.context.states.keepOnly(id => this.view.runner(id) !== undefined);
-    this.context.rateLimits.keepOnly(id => this.view.runner(id) !== undefined);
-    this.context.gate.keepOnly(id => this.view.runner(id) !== undefined);
+    this.context.states.ejectOutliers();
+    this.context.states.prune(id => this.view.runner(id) !== undefined);
+    this.context.rateLimits.prune(id => this.view.runner(id) !== undefined);
+    this.context.gate.prune(id => this.view.runner(id) !== undefined);
     this.context.connections.closeIdle();
   }
 }
--- a/packages/banyanfold-gateway/src/gatewayServer.ts
+++ b/packages/banyanfold-gateway/src/gatewayServer.ts
@@ -78,7 +78,7 @@
   }
 
   private get limits(): CallerLimits {
-    return this.context.view.current?.limits ?? LIMITS_BEFORE_CONFIG;
+    return this.context.view.currentConfig?.limits ?? LIMITS_BEFORE_CONFIG;
   }
 
   private applyLimits(): void {
@@ -116,7 +116,7 @@
       return;
     }
     const host = request.headers.host ?? '';
-    const route = context.view.route(host, request.url ?? '/');
+    const route = context.view.findRoute(host, request.url ?? '/');
     if (!route) {
       this.turnAwayUnrouted(request, response);
       return;
@@ -256,7 +256,7 @@
       reason,
       key: keyDigest && shortDigest(keyDigest),
       target: request.url,
-      config: view.current?.version,
+      config: view.currentConfig?.version,
     });
     const status = FINAL_STATUS.unauthorized;
     sendFinalAnswer(response, {status, reason}, isLeaving());
@@ -274,7 +274,7 @@
       status,
       host: request.headers.host,
       target: request.url,
-      config: view.current?.version,
+      config: view.currentConfig?.version,
       configAgeMs: view.configAgeMs && Math.round(view.configAgeMs),
     });
     sendFinalAnswer(
--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -167,7 +167,7 @@
       if (answer.reason === 'not-holder') lease.refreshHolder();
       return false;
     }
-    held.noteAdapter(wanted.runnerId, wanted.model, wanted.adapter);
+    held.addAdapter(wanted.runnerId, wanted.model, wanted.adapter);
     await new Promise<void>(resolve => {
       clock.setTimer(options.adapterSettleMs, resolve);
     });
@@ -263,7 +263,7 @@
       openWork: states.ownOpenWork(),
       adaptersInUse: states.ownAdaptersInUse(),
       modelsInUse: states.ownModelsInUse(),
-      waiting: demand.waitingNow(),
+      waiting: demand.waitingCounts(),
     };
   }
 
@@ -283,7 +283,7 @@
       modelsInUse: load.modelsInUse as ExchangeInput['modelsInUse'],
       known: this.known,
       batch: this.unanswered.next(),
-      rateLimits: this.deps.rateLimits.toldLimits(),
+      rateLimits: this.deps.rateLimits.reportedLimits(),
       crashes: this.deps.suspects.news(),
       knownSuspects: this.deps.suspects.known,
     };
@@ -345,12 +345,12 @@
     if (isPassedOn) lease.noteHolder(output.holder);
     else if (teller !== self.address) this.relay.noteWord(output);
     this.deps.usage.tell(output.usage ?? {}, output.ageMs, isPassedOn);
-    this.deps.rateLimits.tell(
+    this.deps.rateLimits.applyFleetLimits(
       output.rateLimits ?? {},
       output.ageMs,
       isPassedOn,
     );
-    this.deps.states.noteEjected(output.ejectedForMs ?? {}, output.ageMs);
+    this.deps.states.applyEjections(output.ejectedForMs ?? {}, output.ageMs);
     this.adoptVersions(output, teller);
     this.adoptLoads(output, isPassedOn);
     this.adoptRoles(output);
@@ -370,8 +370,8 @@
     this.lastWord = {atMs: nowMs, readAgeMs};
     if (output.isOrdering) this.heardMs = nowMs;
     metrics.observeMs('holder_word_age_ms', ageMs);
-    held.tell(output.copies, ageMs);
-    held.tellCopiesInMs(output.copiesInMs);
+    held.applyChanges(output.copies, ageMs);
+    held.setCopyDelays(output.copiesInMs);
     const {epoch, revision} = output.copies;
     this.known = {epoch, revision};
   }
@@ -380,14 +380,14 @@
     const {lease, loadRate, clock, states, self, onEntries} = this.deps;
     // Its own word says nothing that it doesn't know.
     if (!lease.current().isHolder) {
-      loadRate.learn(output.loadAgesMs, clock.nowMs());
+      loadRate.restore(output.loadAgesMs, clock.nowMs());
     }
     const {peersWork, peersRequests} = output;
     if (isPassedOn) {
-      states.notePeersWork(peersWork, peersRequests);
+      states.setPeersWork(peersWork, peersRequests);
     } else {
       const group = this.relay.groupWithout(self.address);
-      states.notePeersWork(
+      states.setPeersWork(
         added(peersWork, group.work),
         added(peersRequests, group.requests),
       );
--- a/packages/banyanfold-gateway/src/peers/relay.ts
+++ b/packages/banyanfold-gateway/src/peers/relay.ts
@@ -87,7 +87,7 @@
   load(own: RelayCandidate): EntryLoad {
     const {clock, address, ownLoad} = this.options;
     const nowMs = clock.nowMs();
-    this.loads.note(address, ownLoad(), nowMs);
+    this.loads.record(address, ownLoad(), nowMs);
     const load = this.loads.sum(nowMs);
     const others = load.members.filter(m => m.address !== own.address);
     return {...load, members: [own, ...others]};
@@ -105,8 +105,8 @@
   groupWithout(entry: string) {
     const nowMs = this.options.clock.nowMs();
     return {
-      work: this.loads.workWithout(entry, nowMs),
-      requests: this.loads.requestsWithout(entry, nowMs),
+      work: this.loads.openWorkExcept(entry, nowMs),
+      requests: this.loads.openRequestsExcept(entry, nowMs),
     };
   }
 
@@ -120,7 +120,7 @@
 
   /** This process tells them on as its own. */
   private noteRateLimits({rateLimits = []}: ExchangeInput): void {
-    for (const limit of rateLimits) this.options.rateLimits.noteTold(limit);
+    for (const limit of rateLimits) this.options.rateLimits.addRelayed(limit);
   }
 
   exchange(input: ExchangeInput): ExchangeOutput | NotHolder {
@@ -131,9 +131,9 @@
       return {kind: 'not-holder', holderAddress: holderAddress()};
     }
     const {entry, batch, configVersion, runnersChange} = input;
-    this.loads.note(entry, input, nowMs);
-    this.loads.note(address, ownLoad(), nowMs);
-    if (this.batches.isNew(entry, batch.batchId)) this.addBatch(batch);
+    this.loads.record(entry, input, nowMs);
+    this.loads.record(address, ownLoad(), nowMs);
+    if (this.batches.addIfNew(entry, batch.batchId)) this.addBatch(batch);
     this.noteRateLimits(input);
     suspects.relay(input.crashes);
     if (Object.keys(input.waiting).length > 0) this.options.demand.onWaiting();
--- a/packages/banyanfold-gateway/src/placement/copyRevisions.ts
+++ b/packages/banyanfold-gateway/src/placement/copyRevisions.ts
@@ -7,22 +7,22 @@
   revision: number;
 }
 
-export interface ToldChanges extends KnownRevision {
+export interface CopyChanges extends KnownRevision {
   /** All runners are told, those left out are gone. */
   isWhole: boolean;
   runners: ToldRunner[];
   gone: string[];
 }
 
-interface Recorded {
+interface RecordedChange {
   revision: number;
-  text: string;
+  serialized: string;
   /** Undefined for a runner that is gone. */
   runner?: ToldRunner;
 }
 
 /** So many changes back an entry is told what it missed, else all. */
-const KEPT_REVISIONS = 1_000;
+const RETAINED_REVISIONS = 1_000;
 
 /**
  * Numbers the changes of what runners hold, so that an entry is told those that
@@ -36,7 +36,7 @@
  */
 export class CopyRevisions {
   private revision = 0;
-  private readonly byRunner = new Map<string, Recorded>();
+  private readonly changes = new Map<string, RecordedChange>();
 
   constructor(private readonly epoch: string) {}
 
@@ -45,27 +45,27 @@
     const present = new Set(runners.map(({runnerId}) => runnerId));
     for (const runner of runners) {
       const text = JSON.stringify(runner);
-      if (this.byRunner.get(runner.runnerId)?.text !== text) {
-        this.record(runner.runnerId, text, runner);
+      if (this.changes.get(runner.runnerId)?.serialized !== text) {
+        this.recordChange(runner.runnerId, text, runner);
       }
     }
-    for (const [runnerId, {runner, revision}] of this.byRunner) {
+    for (const [runnerId, {runner, revision}] of this.changes) {
       if (present.has(runnerId)) continue;
-      if (runner) this.record(runnerId, '');
-      else if (revision < this.oldestKept) this.byRunner.delete(runnerId);
+      if (runner) this.recordChange(runnerId, '');
+      else if (revision < this.oldestRetained) this.changes.delete(runnerId);
     }
   }
 
-  since(known: KnownRevision | undefined): ToldChanges {
+  since(known: KnownRevision | undefined): CopyChanges {
     const {epoch, revision} = this;
     const isWhole =
       known?.epoch !== epoch ||
-      known.revision < this.oldestKept ||
+      known.revision < this.oldestRetained ||
       known.revision > revision;
     const from = isWhole ? 0 : known.revision;
     const runners: ToldRunner[] = [];
     const gone: string[] = [];
-    for (const [runnerId, recorded] of this.byRunner) {
+    for (const [runnerId, recorded] of this.changes) {
       if (recorded.revision <= from) continue;
       if (recorded.runner) runners.push(recorded.runner);
       else if (!isWhole) gone.push(runnerId);
@@ -73,12 +73,20 @@
     return {epoch, revision, isWhole, runners, gone};
   }
 
-  private get oldestKept(): number {
-    return this.revision - KEPT_REVISIONS;
+  private get oldestRetained(): number {
+    return this.revision - RETAINED_REVISIONS;
   }
 
-  private record(runnerId: string, text: string, runner?: ToldRunner): void {
+  private recordChange(
+    runnerId: string,
+    text: string,
+    runner?: ToldRunner,
+  ): void {
     this.revision += 1;
-    this.byRunner.set(runnerId, {revision: this.revision, text, runner});
+    this.changes.set(runnerId, {
+      revision: this.revision,
+      serialized: text,
+      runner,
+    });
   }
 }
--- a/packages/banyanfold-gateway/src/placement/demandMeter.ts
+++ b/packages/banyanfold-gateway/src/placement/demandMeter.ts
@@ -27,9 +27,9 @@
   /** Called when a request begins to wait for a copy. */
   onWaiting: () => void = () => {};
 
-  noteArrival(arrival: Arrival): void {
+  recordArrival(arrival: Arrival): void {
     const {model, adapter, urgency} = arrival;
-    const demand = this.of(model);
+    const demand = this.getOrCreate(model);
     demand.arrivals += urgency;
     demand.promptTokens += arrival.promptTokens;
     demand.outputTokens += arrival.maxOutputTokens;
@@ -38,13 +38,13 @@
   }
 
   /** A request waits for a copy; call what is returned when it no longer does. */
-  noteWaiting(model: string): () => void {
+  trackWaiting(model: string): () => void {
     this.waiting.set(model, (this.waiting.get(model) ?? 0) + 1);
     this.onWaiting();
-    let isOver = false;
+    let isDone = false;
     return () => {
-      if (isOver) return;
-      isOver = true;
+      if (isDone) return;
+      isDone = true;
       const left = (this.waiting.get(model) ?? 1) - 1;
       if (left > 0) this.waiting.set(model, left);
       else this.waiting.delete(model);
@@ -52,14 +52,14 @@
   }
 
   /** Requests that wait now for a copy, by model. */
-  waitingNow(): Record<string, number> {
+  waitingCounts(): Record<string, number> {
     return Object.fromEntries(this.waiting);
   }
 
   /** Adds what another entry has counted. */
   add(demand: readonly ModelDemand[]): void {
     for (const asked of demand) {
-      const own = this.of(asked.model);
+      const own = this.getOrCreate(asked.model);
       own.arrivals += asked.arrivals;
       own.promptTokens += asked.promptTokens;
       own.outputTokens += asked.outputTokens;
@@ -76,7 +76,7 @@
     return taken;
   }
 
-  private of(model: string): ModelDemand {
+  private getOrCreate(model: string): ModelDemand {
     let demand = this.byModel.get(model);
     if (!demand) {
       demand = {
--- a/packages/banyanfold-gateway/src/placement/dueReports.ts
+++ b/packages/banyanfold-gateway/src/placement/dueReports.ts
@@ -1,8 +1,8 @@
 /** One runner, as far as it matters when its report is asked for. */
-export interface ReportState<K> {
+export interface ReportSchedule<K> {
   key: K;
   /** When it was last asked; undefined before. */
-  askedMs?: number;
+  lastRequestedMs?: number;
   /** An order there is to be over. */
   isAwaited: boolean;
   /** Nothing is known of the runner yet. */
@@ -18,7 +18,7 @@
   /** Reports a second of runners that are known and not awaited. */
   perSecond: number;
   /** Runners that nothing is known of which may be asked now. */
-  unknownLeft?: number;
+  unknownQuota?: number;
 }
 
 const MS_PER_SECOND = 1000;
@@ -34,28 +34,28 @@
  * @example dueReports(states, clock.nowMs(), options).forEach(ask)
  */
 export function dueReports<K>(
-  states: ReadonlyArray<ReportState<K>>,
+  states: ReadonlyArray<ReportSchedule<K>>,
   nowMs: number,
   options: DueReportsOptions,
 ): K[] {
   const {tickMs, intervalMs, awaitedIntervalMs, perSecond} = options;
-  const {unknownLeft = Number.POSITIVE_INFINITY} = options;
-  const sinceMs = ({askedMs}: ReportState<K>) =>
+  const {unknownQuota: unknownLeft = Number.POSITIVE_INFINITY} = options;
+  const elapsedMs = ({lastRequestedMs: askedMs}: ReportSchedule<K>) =>
     askedMs === undefined ? Number.POSITIVE_INFINITY : nowMs - askedMs;
-  const longestUnasked = (a: ReportState<K>, b: ReportState<K>) =>
-    sinceMs(b) - sinceMs(a);
+  const byLongestWait = (a: ReportSchedule<K>, b: ReportSchedule<K>) =>
+    elapsedMs(b) - elapsedMs(a);
   const awaited = states.filter(
-    state => state.isAwaited && sinceMs(state) >= awaitedIntervalMs,
+    state => state.isAwaited && elapsedMs(state) >= awaitedIntervalMs,
   );
-  const isOther = (state: ReportState<K>) => !state.isAwaited;
+  const isOther = (state: ReportSchedule<K>) => !state.isAwaited;
   const unknown = states
     .filter(state => isOther(state) && state.isUnknown)
-    .filter(state => sinceMs(state) >= awaitedIntervalMs)
-    .sort(longestUnasked);
+    .filter(state => elapsedMs(state) >= awaitedIntervalMs)
+    .sort(byLongestWait);
   const others = states
     .filter(state => isOther(state) && !state.isUnknown)
-    .filter(state => sinceMs(state) >= intervalMs)
-    .sort(longestUnasked);
+    .filter(state => elapsedMs(state) >= intervalMs)
+    .sort(byLongestWait);
   const count = Math.max(1, Math.round((perSecond * tickMs) / MS_PER_SECOND));
   return [
     ...awaited,
--- a/packages/banyanfold-gateway/src/placement/entryLoads.ts
+++ b/packages/banyanfold-gateway/src/placement/entryLoads.ts
@@ -1,9 +1,9 @@
 import type {RelayCandidate} from '@banyanfold/decisions';
 
 /** An entry that was not heard of for this long no longer counts, in ms. */
-const ENTRY_LOST_MS = 2_000;
+const ENTRY_EXPIRY_MS = 2_000;
 /** Work is told to a tenth: fewer digits, and nobody decides by less. */
-const ROUNDING = 10;
+const ROUNDING_STEPS = 10;
 
 /** What an entry, and those it relays for, have open at the runners. */
 export interface EntryLoad {
@@ -17,64 +17,64 @@
   waiting: Readonly<Record<string, number>>;
 }
 
-interface HeardLoad extends EntryLoad {
-  heardMs: number;
+interface ReceivedLoad extends EntryLoad {
+  receivedMs: number;
 }
 
 /** What each entry that was heard of lately has open, and their sums. */
 export class EntryLoads {
-  private readonly entries = new Map<string, HeardLoad>();
+  private readonly entries = new Map<string, ReceivedLoad>();
 
-  constructor(private readonly lostMs = ENTRY_LOST_MS) {}
+  constructor(private readonly expiryMs = ENTRY_EXPIRY_MS) {}
 
   /**
    * An entry that speaks through a relay no longer counts by itself, or its work
    * would count twice until what it told before is too old.
    */
-  note(entry: string, load: EntryLoad, nowMs: number): void {
+  record(entry: string, load: EntryLoad, nowMs: number): void {
     for (const {address} of load.members) {
       if (address !== entry) this.entries.delete(address);
     }
-    this.entries.set(entry, {...load, heardMs: nowMs});
+    this.entries.set(entry, {...load, receivedMs: nowMs});
   }
 
   /** Requests of all entries that wait for a copy of a model. */
-  waiting(model: string, nowMs: number): number {
+  waitingRequests(model: string, nowMs: number): number {
     let total = 0;
-    for (const {waiting} of this.heard(nowMs)) total += waiting[model] ?? 0;
+    for (const {waiting} of this.recent(nowMs)) total += waiting[model] ?? 0;
     return total;
   }
 
   /** Entries heard of lately; one at least. */
   count(nowMs: number): number {
     let count = 0;
-    for (const {members} of this.heard(nowMs)) count += members.length;
+    for (const {members} of this.recent(nowMs)) count += members.length;
     return Math.max(1, count);
   }
 
   /** Entries heard of lately, the last heard first. */
   members(nowMs: number): RelayCandidate[] {
-    return [...this.heard(nowMs)]
-      .sort((a, b) => b.heardMs - a.heardMs)
+    return [...this.recent(nowMs)]
+      .sort((a, b) => b.receivedMs - a.receivedMs)
       .flatMap(({members}) => members);
   }
 
   /** Open work of all but one entry, by runner. */
-  workWithout(entry: string, nowMs: number): Record<string, number> {
+  openWorkExcept(entry: string, nowMs: number): Record<string, number> {
     const total: Record<string, number> = {};
-    for (const {openWork} of this.heard(nowMs, entry)) {
-      addAll(total, openWork);
+    for (const {openWork} of this.recent(nowMs, entry)) {
+      addCounts(total, openWork);
     }
     for (const [runnerId, work] of Object.entries(total)) {
-      total[runnerId] = Math.round(work * ROUNDING) / ROUNDING;
+      total[runnerId] = Math.round(work * ROUNDING_STEPS) / ROUNDING_STEPS;
     }
     return total;
   }
 
   /** Requests that all but one entry have open, by runner. */
-  requestsWithout(entry: string, nowMs: number): Record<string, number> {
+  openRequestsExcept(entry: string, nowMs: number): Record<string, number> {
     const total: Record<string, number> = {};
-    for (const {modelsInUse} of this.heard(nowMs, entry)) {
+    for (const {modelsInUse} of this.recent(nowMs, entry)) {
       for (const [runnerId, counts] of Object.entries(modelsInUse)) {
         for (const count of Object.values(counts)) {
           total[runnerId] = (total[runnerId] ?? 0) + count;
@@ -86,7 +86,7 @@
 
   /** Whether an entry has a request under way there that uses the adapter. */
   isAdapterInUse(runnerId: string, adapter: string, nowMs: number): boolean {
-    for (const {adaptersInUse} of this.heard(nowMs)) {
+    for (const {adaptersInUse} of this.recent(nowMs)) {
       if (adaptersInUse[runnerId]?.includes(adapter)) return true;
     }
     return false;
@@ -95,8 +95,8 @@
   /** Requests of all entries under way at a runner, by model. */
   modelsInUse(runnerId: string, nowMs: number): Record<string, number> {
     const total: Record<string, number> = {};
-    for (const {modelsInUse} of this.heard(nowMs)) {
-      addAll(total, modelsInUse[runnerId] ?? {});
+    for (const {modelsInUse} of this.recent(nowMs)) {
+      addCounts(total, modelsInUse[runnerId] ?? {});
     }
     return total;
   }
@@ -111,11 +111,11 @@
     const adapters: Record<string, Set<string>> = {};
     const modelsInUse: Record<string, Record<string, number>> = {};
     const waiting: Record<string, number> = {};
-    for (const load of this.heard(nowMs)) {
-      addAll(openWork, load.openWork);
-      addAll(waiting, load.waiting);
+    for (const load of this.recent(nowMs)) {
+      addCounts(openWork, load.openWork);
+      addCounts(waiting, load.waiting);
       for (const [runnerId, counts] of Object.entries(load.modelsInUse)) {
-        addAll((modelsInUse[runnerId] ??= {}), counts);
+        addCounts((modelsInUse[runnerId] ??= {}), counts);
       }
       for (const [runnerId, names] of Object.entries(load.adaptersInUse)) {
         const all = (adapters[runnerId] ??= new Set());
@@ -129,15 +129,18 @@
     return {members, openWork, adaptersInUse, modelsInUse, waiting};
   }
 
-  private *heard(nowMs: number, without?: string): Generator<HeardLoad> {
+  private *recent(
+    nowMs: number,
+    excludedEntry?: string,
+  ): Generator<ReceivedLoad> {
     for (const [entry, load] of this.entries) {
-      if (entry === without) continue;
-      if (nowMs - load.heardMs < this.lostMs) yield load;
+      if (entry === excludedEntry) continue;
+      if (nowMs - load.receivedMs < this.expiryMs) yield load;
     }
   }
 }
 
-function addAll(
+function addCounts(
   total: Record<string, number>,
   more: Readonly<Record<string, number>>,
 ): void {
--- a/packages/banyanfold-gateway/src/placement/demandView.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetDemand.ts
@@ -5,23 +5,23 @@
 const SMOOTHING_MS = 1_500;
 const MS_PER_SECOND = 1000;
 /** Demand that left for some seconds is still in this average. */
-const USUAL_SMOOTHING_MS = 15_000;
+const LONG_SMOOTHING_MS = 15_000;
 
 interface SmoothedDemand {
   workPerSecond: number;
   requestsPerSecond: number;
-  usualPerSecond: number;
+  usualRequestsPerSecond: number;
   updatedMs: number;
-  lastAskedMs: number;
+  lastRequestedMs: number;
 }
 
 /** Demand over all entries, as the holder of orders has heard it. */
-export class DemandView {
+export class FleetDemand {
   private readonly models = new Map<string, SmoothedDemand>();
-  private firstAskedMs = Number.POSITIVE_INFINITY;
+  private firstSeenMs = Number.POSITIVE_INFINITY;
 
   /** Takes in what was asked of an entry since it told before. */
-  note(demand: readonly ModelDemand[], nowMs: number): void {
+  record(demand: readonly ModelDemand[], nowMs: number): void {
     for (const asked of demand) this.add(asked, nowMs);
   }
 
@@ -38,21 +38,23 @@
   }
 
   /** Since a request was first heard of; negative before. */
-  knownForMs(nowMs: number): number {
-    return nowMs - this.firstAskedMs;
+  observedForMs(nowMs: number): number {
+    return nowMs - this.firstSeenMs;
   }
 
   /** Requests a second over a longer time. */
-  usualPerSecond(model: string, nowMs: number): number {
+  usualRequestsPerSecond(model: string, nowMs: number): number {
     const smoothed = this.models.get(model);
     if (!smoothed) return 0;
     const sinceMs = nowMs - smoothed.updatedMs;
-    return smoothed.usualPerSecond * decay(sinceMs, USUAL_SMOOTHING_MS);
+    return smoothed.usualRequestsPerSecond * decay(sinceMs, LONG_SMOOTHING_MS);
   }
 
   idleMs(model: string, nowMs: number): number {
     const smoothed = this.models.get(model);
-    return smoothed ? nowMs - smoothed.lastAskedMs : Number.MAX_SAFE_INTEGER;
+    return smoothed
+      ? nowMs - smoothed.lastRequestedMs
+      : Number.MAX_SAFE_INTEGER;
   }
 
   private add(asked: ModelDemand, nowMs: number): void {
@@ -63,18 +65,18 @@
       outputTokens,
     });
     const work = read + generate;
-    if (arrivals > 0) this.firstAskedMs = Math.min(this.firstAskedMs, nowMs);
+    if (arrivals > 0) this.firstSeenMs = Math.min(this.firstSeenMs, nowMs);
     const before = this.workPerSecond(asked.model, nowMs);
-    const usualBefore = this.usualPerSecond(asked.model, nowMs);
+    const usualBefore = this.usualRequestsPerSecond(asked.model, nowMs);
     const requestsBefore = this.requestsPerSecond(asked.model, nowMs);
     this.models.set(asked.model, {
       workPerSecond: before + (work * MS_PER_SECOND) / SMOOTHING_MS,
       requestsPerSecond:
         requestsBefore + (arrivals * MS_PER_SECOND) / SMOOTHING_MS,
-      usualPerSecond:
-        usualBefore + (arrivals * MS_PER_SECOND) / USUAL_SMOOTHING_MS,
+      usualRequestsPerSecond:
+        usualBefore + (arrivals * MS_PER_SECOND) / LONG_SMOOTHING_MS,
       updatedMs: nowMs,
-      lastAskedMs: nowMs,
+      lastRequestedMs: nowMs,
     });
   }
 }
--- a/packages/banyanfold-gateway/src/placement/fleetOutcomes.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetOutcomes.ts
@@ -9,10 +9,10 @@
 
 /** Outcomes older than this say nothing of a runner's state now. */
 const WINDOW_MS = 3_000;
-const JUDGE_INTERVAL_MS = 250;
+const UPDATE_INTERVAL_MS = 250;
 /** A fault of a runner lasts some seconds; then it is tried again. */
 const EJECTION_MS = 2_000;
-const OPTIONS: EjectionOptions = {
+const EJECTION_OPTIONS: EjectionOptions = {
   minOutcomes: 6,
   minPeers: 3,
   failureMargin: 0.25,
@@ -23,7 +23,7 @@
   ejectionMs: EJECTION_MS,
 };
 
-interface Account {
+interface RunnerAccount {
   successes: SlidingWindow;
   failures: SlidingWindow;
   ejectedUntilMs: number;
@@ -35,37 +35,37 @@
  * they can within a second.
  */
 export class FleetOutcomes {
-  private readonly accounts = new Map<string, Account>();
-  private judgedMs = Number.NEGATIVE_INFINITY;
+  private readonly accounts = new Map<string, RunnerAccount>();
+  private updatedMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly deps: {clock: Clock; logger: Logger; view: FleetView},
   ) {}
 
-  note(outcomes: readonly RunnerOutcome[]): void {
+  record(outcomes: readonly RunnerOutcome[]): void {
     const nowMs = this.deps.clock.nowMs();
     for (const {runnerId, successes, failures} of outcomes) {
-      const account = this.of(runnerId);
+      const account = this.getOrCreate(runnerId);
       account.successes.add(successes, nowMs);
       account.failures.add(failures, nowMs);
     }
   }
 
   /** Runners that stand out by their failures, each with how long it is left out. */
-  tell(): Record<string, number> {
+  ejections(): Record<string, number> {
     const nowMs = this.deps.clock.nowMs();
-    if (nowMs - this.judgedMs >= JUDGE_INTERVAL_MS) this.judge(nowMs);
-    const told: Record<string, number> = {};
+    if (nowMs - this.updatedMs >= UPDATE_INTERVAL_MS) this.update(nowMs);
+    const remainingMs: Record<string, number> = {};
     for (const [runnerId, {ejectedUntilMs}] of this.accounts) {
       const leftMs = Math.round(ejectedUntilMs - nowMs);
-      if (leftMs > 0) told[runnerId] = leftMs;
+      if (leftMs > 0) remainingMs[runnerId] = leftMs;
     }
-    return told;
+    return remainingMs;
   }
 
-  private judge(nowMs: number): void {
+  private update(nowMs: number): void {
     const {view, logger} = this.deps;
-    this.judgedMs = nowMs;
+    this.updatedMs = nowMs;
     for (const runnerId of this.accounts.keys()) {
       if (!view.runner(runnerId)) this.accounts.delete(runnerId);
     }
@@ -77,23 +77,26 @@
       ejectedUntilMs: account.ejectedUntilMs,
       peerGroup: view.runner(vmId)?.service,
     }));
-    const {ejected} = decideEjections(outcomes, nowMs, OPTIONS);
+    const {ejected} = decideEjections(outcomes, nowMs, EJECTION_OPTIONS);
     for (const {vmId, untilMs, reason} of ejected) {
-      this.accounts.set(vmId, {...this.created(), ejectedUntilMs: untilMs});
+      this.accounts.set(vmId, {
+        ...this.createAccount(),
+        ejectedUntilMs: untilMs,
+      });
       logger.warn('runner-ejected', {runner: vmId, reason, by: 'fleet'});
     }
   }
 
-  private of(runnerId: string): Account {
+  private getOrCreate(runnerId: string): RunnerAccount {
     let account = this.accounts.get(runnerId);
     if (!account) {
-      account = this.created();
+      account = this.createAccount();
       this.accounts.set(runnerId, account);
     }
     return account;
   }
 
-  private created(): Account {
+  private createAccount(): RunnerAccount {
     return {
       successes: new SlidingWindow(WINDOW_MS),
       failures: new SlidingWindow(WINDOW_MS),
--- a/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
@@ -6,91 +6,94 @@
 } from '@banyanfold/decisions';
 import type {RateUse} from '../runners/rateUseMeter.js';
 import {
-  keptMs,
+  limitRetentionMs,
   type FleetRateLimit,
-  type ToldRateLimit,
+  type KnownRateLimit,
 } from '../runners/runnerRateLimits.js';
 
 const WINDOW_MS = DEFAULT_RATE_LIMIT_OPTIONS.windowMs;
 const SMOOTHING_MS = 500;
 const MS_PER_SECOND = 1000;
 
-interface Account {
+interface RunnerAccount {
   perSecond: number | undefined;
-  heardMs: number;
+  receivedMs: number;
   /** When this process began to count. */
-  sinceMs: number;
+  countedSinceMs: number;
   used: SlidingWindow;
-  asked: DecayingRate;
+  requested: DecayingRate;
 }
 
 /** Use of rate-limited runners by all entries, as the holder hears of it. */
 export class FleetRateLimits {
-  private readonly accounts = new Map<string, Account>();
+  private readonly accounts = new Map<string, RunnerAccount>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Takes in what an entry has heard of limits. */
-  noteLimits(limits: readonly ToldRateLimit[]): void {
+  recordLimits(limits: readonly KnownRateLimit[]): void {
     const nowMs = this.clock.nowMs();
     for (const limit of limits) this.noteLimit(limit, nowMs);
   }
 
   /** Takes in what an entry has made of them. */
-  noteUse(uses: readonly RateUse[]): void {
+  recordUse(uses: readonly RateUse[]): void {
     const nowMs = this.clock.nowMs();
     for (const {runnerId, asked, used} of uses) {
       const account = this.accounts.get(runnerId);
-      account?.asked.add(asked, nowMs);
+      account?.requested.add(asked, nowMs);
       account?.used.add(used, nowMs);
     }
   }
 
-  tell(): Record<string, FleetRateLimit> {
+  snapshot(): Record<string, FleetRateLimit> {
     const nowMs = this.clock.nowMs();
-    const told: Record<string, FleetRateLimit> = {};
+    const limits: Record<string, FleetRateLimit> = {};
     for (const [runnerId, account] of this.accounts) {
-      const {perSecond, heardMs} = account;
+      const {perSecond, receivedMs: heardMs} = account;
       const ageMs = nowMs - heardMs;
-      if (ageMs > keptMs(perSecond)) {
+      if (ageMs > limitRetentionMs(perSecond)) {
         this.accounts.delete(runnerId);
         continue;
       }
-      told[runnerId] = {
+      limits[runnerId] = {
         perSecond,
         ageMs,
-        used: account.used.sum(nowMs) + uncounted(account, nowMs),
-        askedPerSecond: account.asked.perSecond(nowMs),
+        used: account.used.sum(nowMs) + assumedUse(account, nowMs),
+        askedPerSecond: account.requested.perSecond(nowMs),
       };
     }
-    return told;
+    return limits;
   }
 
   private noteLimit(
-    {runnerId, perSecond, ageMs}: ToldRateLimit,
+    {runnerId, perSecond, ageMs}: KnownRateLimit,
     nowMs: number,
   ): void {
     const heardMs = nowMs - ageMs;
     const known = this.accounts.get(runnerId);
-    if (known && heardMs <= known.heardMs) return;
-    if (ageMs > keptMs(perSecond)) return;
+    if (known && heardMs <= known.receivedMs) return;
+    if (ageMs > limitRetentionMs(perSecond)) return;
     if (known) {
       known.perSecond = perSecond;
-      known.heardMs = heardMs;
+      known.receivedMs = heardMs;
     } else if (perSecond !== undefined) {
       this.accounts.set(runnerId, {
         perSecond,
-        heardMs,
-        sinceMs: nowMs,
+        receivedMs: heardMs,
+        countedSinceMs: nowMs,
         used: new SlidingWindow(WINDOW_MS),
-        asked: new DecayingRate(SMOOTHING_MS),
+        requested: new DecayingRate(SMOOTHING_MS),
       });
     }
   }
 }
 
 /** Of the window before this process began to count, as if the limit was used. */
-function uncounted({sinceMs, perSecond = 0}: Account, nowMs: number): number {
+function assumedUse(
+  {countedSinceMs: sinceMs, perSecond = 0}: RunnerAccount,
+  nowMs: number,
+): number {
   const leftMs = Math.max(0, WINDOW_MS - (nowMs - sinceMs));
   return (perSecond * leftMs) / MS_PER_SECOND;
 }
--- a/packages/banyanfold-gateway/src/placement/holder.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseHolder.ts
@@ -37,45 +37,45 @@
 import type {FleetView, ViewChange} from '../view/fleetView.js';
 import {repeatEvery} from '../repeatEvery.js';
 import {CopyRevisions} from './copyRevisions.js';
-import {copyInMs, loadMsOf} from './copyTimes.js';
-import {copyRunnerOf} from './copyRunnerOf.js';
+import {estimateCopyDelayMs, estimateLoadMs} from './copyTimes.js';
+import {toCopyRunner} from './toCopyRunner.js';
 import type {ModelDemand} from './demandMeter.js';
-import {DemandView} from './demandView.js';
+import {FleetDemand} from './fleetDemand.js';
 import {EntryLoads} from './entryLoads.js';
 import {FleetOutcomes} from './fleetOutcomes.js';
 import {FleetRateLimits} from './fleetRateLimits.js';
 import {LoadRate} from './loadRate.js';
-import {REPORT_TICK_MS, ReportAsker} from './reportAsker.js';
+import {REPORT_TICK_MS, ReportPoller} from './reportPoller.js';
 import {RunnerController} from './runnerController.js';
 import {SeenBatches} from './seenBatches.js';
 import {StandbyRoster} from './standbyRoster.js';
 
 /** Who asks for a model is told when it comes for this long after. */
-const ASKED_LATELY_MS = 5_000;
+const RECENT_DEMAND_MS = 5_000;
 /**
  * No copy makes way before: in the first moments whoever asks first has all of
  * the demand. Most of the time over which rates are smoothed.
  */
-const DEMAND_KNOWN_MS = 1_000;
+const MIN_DEMAND_HISTORY_MS = 1_000;
 /** Shorter than the shortest interval at which one entry asks. */
-const COPIES_NOTED_MS = 40;
+const COPIES_UPDATE_INTERVAL_MS = 40;
 /**
  * For so long after its lease has lapsed a holder still tells what it knows, in
  * ms: a renewal came late, and what runners hold hardly changes without orders.
  */
-const LAPSED_WORD_MS = 1_500;
+const LAPSED_ANSWER_MS = 1_500;
 /**
  * After a plan, or after it went through all runners, the holder does other things
  * for at least so many times as long, or renewals of the lease and answers would
  * wait for it.
  */
-const REST_FACTOR = 8;
+const PAUSE_FACTOR = 8;
 /** What took long because the process was frozen doesn't put off the next time. */
-const LONGEST_REST_MS = 2_000;
+const MAX_PAUSE_MS = 2_000;
 /** An unload waits for the runs under way, then is over at once. */
-const UNLOAD_MS = 100;
+const EXPECTED_UNLOAD_MS = 100;
 
-export interface HolderOptions {
+export interface LeaseHolderOptions {
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
@@ -96,10 +96,10 @@
 }
 
 /** Gives all orders to runners while this process holds the lease. */
-export class Holder implements HolderHandlers {
+export class LeaseHolder implements HolderHandlers {
   private readonly controllers = new Map<string, RunnerController>();
-  private readonly demand = new DemandView();
-  private readonly loads = new EntryLoads();
+  private readonly demand = new FleetDemand();
+  private readonly entryLoads = new EntryLoads();
   private readonly batches = new SeenBatches();
   private readonly outcomes: FleetOutcomes;
   private rateLimits: FleetRateLimits;
@@ -108,98 +108,98 @@
   private usageTerm: number | undefined;
   private relays: Relays = new Map();
   private relaysChosenMs = Number.NEGATIVE_INFINITY;
-  private copiesNotedMs = Number.NEGATIVE_INFINITY;
-  private copiesNoteTookMs = 0;
-  private comingCopies: Record<string, number> = {};
-  private readonly repeated: Array<() => void> = [];
+  private copiesUpdatedMs = Number.NEGATIVE_INFINITY;
+  private copiesUpdateTookMs = 0;
+  private copyDelaysMs: Record<string, number> = {};
+  private readonly stopTimers: Array<() => void> = [];
   private readonly revisions: CopyRevisions;
-  private newestConfig = 0;
+  private newestConfigVersion = 0;
   private newestRunnersChange = 0;
   private plannedMs = Number.NEGATIVE_INFINITY;
   private planTookMs = 0;
   /** When this process last could give orders. */
-  private orderedMs = Number.NEGATIVE_INFINITY;
-  private readonly reports: ReportAsker;
-  private readonly standbys: StandbyRoster;
+  private lastHeldMs = Number.NEGATIVE_INFINITY;
+  private readonly reportPoller: ReportPoller;
+  private readonly standbyRoster: StandbyRoster;
   private readonly startedMs: number;
 
-  constructor(private readonly deps: HolderOptions) {
+  constructor(private readonly deps: LeaseHolderOptions) {
     this.startedMs = deps.clock.nowMs();
-    this.fleetUsage = this.countUsage(this.startedMs);
+    this.fleetUsage = this.createFleetUsage(this.startedMs);
     this.outcomes = new FleetOutcomes(deps);
     this.rateLimits = new FleetRateLimits(deps.clock);
-    this.reports = new ReportAsker({
+    this.reportPoller = new ReportPoller({
       ...deps,
       onReport: (asked, report, askedMs) =>
-        this.lifeOf(asked, report)?.noteReport(report, askedMs),
+        this.controllerFor(asked, report)?.applyReport(report, askedMs),
     });
     const epoch = `${deps.holder}#${deps.clock.wallMs()}`;
     this.revisions = new CopyRevisions(epoch);
-    this.standbys = new StandbyRoster(deps.holder, nowMs =>
-      this.loads.members(nowMs),
+    this.standbyRoster = new StandbyRoster(deps.holder, nowMs =>
+      this.entryLoads.members(nowMs),
     );
   }
 
   start(): void {
     const {options, clock} = this.deps;
-    this.repeated.push(
+    this.stopTimers.push(
       repeatEvery(clock, options.planIntervalMs, () => this.plan()),
-      repeatEvery(clock, REPORT_TICK_MS, () => this.askReports()),
+      repeatEvery(clock, REPORT_TICK_MS, () => this.pollReports()),
     );
-    this.deps.view.onChange(change => this.noteViewChange(change));
+    this.deps.view.onChange(change => this.handleViewChange(change));
   }
 
   stop(): void {
-    for (const stop of this.repeated.splice(0)) stop();
+    for (const stop of this.stopTimers.splice(0)) stop();
   }
 
   exchange(input: ExchangeInput): ExchangeOutput | NotHolder {
     const {lease, clock} = this.deps;
     const nowMs = clock.nowMs();
     const {isHolder, owns, holderAddress, term} = lease.current();
-    if (isHolder) this.orderedMs = nowMs;
-    const ageMs = nowMs - this.orderedMs;
-    if (!owns || ageMs > LAPSED_WORD_MS) {
+    if (isHolder) this.lastHeldMs = nowMs;
+    const ageMs = nowMs - this.lastHeldMs;
+    if (!owns || ageMs > LAPSED_ANSWER_MS) {
       return {kind: 'not-holder', holderAddress};
     }
-    this.noteTerm(term, nowMs);
-    this.noteInput(input, nowMs);
-    this.noteCopies(nowMs);
+    this.handleTermChange(term, nowMs);
+    this.recordInput(input, nowMs);
+    this.refreshCopies(nowMs);
     const {entry} = input;
     return {
       kind: 'told',
       holder: this.deps.holder,
       isOrdering: isHolder,
       ageMs,
-      configVersion: this.newestConfig,
+      configVersion: this.newestConfigVersion,
       runnersChange: this.newestRunnersChange,
-      runnersReadAgeMs: nowMs - this.deps.view.runnersAtMs,
+      runnersReadAgeMs: nowMs - this.deps.view.runnersReadMs,
       configReadAgeMs: this.deps.view.configAgeMs,
-      entries: this.loads.count(nowMs),
-      standbys: this.standbys.current(input.members, term, nowMs),
+      entries: this.entryLoads.count(nowMs),
+      standbys: this.standbyRoster.current(input.members, term, nowMs),
       relays: this.relaysFor(input, nowMs),
-      loadAgesMs: this.deps.loadRate.agesMs(nowMs),
+      loadAgesMs: this.deps.loadRate.loadAgesMs(nowMs),
       copies: this.revisions.since(input.known),
-      copiesInMs: this.comingCopies,
-      peersWork: this.loads.workWithout(entry, nowMs),
-      peersRequests: this.loads.requestsWithout(entry, nowMs),
-      ejectedForMs: this.outcomes.tell(),
+      copiesInMs: this.copyDelaysMs,
+      peersWork: this.entryLoads.openWorkExcept(entry, nowMs),
+      peersRequests: this.entryLoads.openRequestsExcept(entry, nowMs),
+      ejectedForMs: this.outcomes.ejections(),
       usage: this.fleetUsage.tell(nowMs),
-      rateLimits: this.rateLimits.tell(),
+      rateLimits: this.rateLimits.snapshot(),
       suspects: this.deps.crashes.tell(input.knownSuspects),
     };
   }
 
   /** While another process held the lease, use was reported there. */
-  private noteTerm(term: number, nowMs: number): void {
+  private handleTermChange(term: number, nowMs: number): void {
     if (term === this.usageTerm) return;
     this.usageTerm = term;
-    this.fleetUsage = this.countUsage(nowMs);
+    this.fleetUsage = this.createFleetUsage(nowMs);
     this.rateLimits = new FleetRateLimits(this.deps.clock);
   }
 
   /** Goes on from what this process last heard as an entry. */
-  private countUsage(sinceMs: number): FleetUsage {
+  private createFleetUsage(sinceMs: number): FleetUsage {
     const {usage} = this.deps;
     return new FleetUsage({
       windowMs: usage.windowMs,
@@ -212,8 +212,8 @@
 
   /** What organisations that are near their limits have left. */
   usageNearLimit(): Record<string, FleetUsageTold> {
-    const told = this.fleetUsage.tell(this.deps.clock.nowMs());
-    return this.deps.usage.nearLimit(told, name => this.limitOf(name));
+    const fleetUsage = this.fleetUsage.tell(this.deps.clock.nowMs());
+    return this.deps.usage.nearLimit(fleetUsage, name => this.limitOf(name));
   }
 
   private limitOf(organisation: string): UsageLimit | undefined {
@@ -222,36 +222,39 @@
     return cap && usage.limitOf(cap);
   }
 
-  private noteInput(input: ExchangeInput, nowMs: number): void {
+  private recordInput(input: ExchangeInput, nowMs: number): void {
     const {entry, batch, waiting, crashes, rateLimits = []} = input;
-    this.loads.note(entry, input, nowMs);
-    this.rateLimits.noteLimits(rateLimits);
+    this.entryLoads.record(entry, input, nowMs);
+    this.rateLimits.recordLimits(rateLimits);
     if (crashes) this.deps.crashes.note(crashes);
-    if (this.batches.isNew(entry, batch.batchId)) {
-      this.demand.note(batch.demand, nowMs);
-      this.noteAdapterUse(batch.demand);
-      this.outcomes.note(batch.outcomes ?? []);
+    if (this.batches.addIfNew(entry, batch.batchId)) {
+      this.demand.record(batch.demand, nowMs);
+      this.recordAdapterUse(batch.demand);
+      this.outcomes.record(batch.outcomes ?? []);
       this.fleetUsage.note(batch.usage ?? [], nowMs);
-      this.rateLimits.noteUse(batch.rateUse ?? []);
+      this.rateLimits.recordUse(batch.rateUse ?? []);
     }
     const {view, holder, onNewerConfig} = this.deps;
-    const version = view.current?.version ?? 0;
+    const version = view.currentConfig?.version ?? 0;
     if (input.configVersion > version && entry !== holder) {
       onNewerConfig(input.configVersion, entry);
     }
-    this.newestConfig = Math.max(this.newestConfig, input.configVersion);
+    this.newestConfigVersion = Math.max(
+      this.newestConfigVersion,
+      input.configVersion,
+    );
     this.newestRunnersChange = Math.max(
       this.newestRunnersChange,
       input.runnersChange,
     );
-    if (Object.keys(waiting).length > 0) this.planSoon();
+    if (Object.keys(waiting).length > 0) this.planIfDue();
   }
 
-  private noteAdapterUse(demand: readonly ModelDemand[]): void {
+  private recordAdapterUse(demand: readonly ModelDemand[]): void {
     for (const {model, adapters} of demand) {
       for (const adapter of Object.keys(adapters)) {
         for (const controller of this.controllers.values()) {
-          controller.noteUse(model, adapter);
+          controller.recordAdapterUse(model, adapter);
         }
       }
     }
@@ -261,13 +264,16 @@
    * What runners hold and load is gone through once for several exchanges: with 82
    * runners it takes longer than all else in an exchange.
    */
-  private noteCopies(nowMs: number): void {
-    const pauseMs = Math.max(COPIES_NOTED_MS, restMsOf(this.copiesNoteTookMs));
-    if (nowMs - this.copiesNotedMs < pauseMs) return;
-    this.copiesNotedMs = nowMs;
-    this.revisions.update(this.toldRunners());
-    this.comingCopies = this.copiesInMs(nowMs);
-    this.copiesNoteTookMs = this.deps.clock.nowMs() - nowMs;
+  private refreshCopies(nowMs: number): void {
+    const pauseMs = Math.max(
+      COPIES_UPDATE_INTERVAL_MS,
+      pauseAfterMs(this.copiesUpdateTookMs),
+    );
+    if (nowMs - this.copiesUpdatedMs < pauseMs) return;
+    this.copiesUpdatedMs = nowMs;
+    this.revisions.update(this.reportedRunners());
+    this.copyDelaysMs = this.estimateCopyDelays(nowMs);
+    this.copiesUpdateTookMs = this.deps.clock.nowMs() - nowMs;
   }
 
   private relaysFor({members}: ExchangeInput, nowMs: number): string[] {
@@ -275,7 +281,7 @@
     if (nowMs - this.relaysChosenMs >= options.exchangeIntervalMs) {
       this.relaysChosenMs = nowMs;
       this.relays = chooseRelays(
-        this.loads.members(nowMs),
+        this.entryLoads.members(nowMs),
         holder,
         this.relays,
       );
@@ -284,29 +290,30 @@
   }
 
   /** A caller that waits keeps its model asked for. */
-  private idleMs(model: string, nowMs: number): number {
-    const isWaitedFor = this.loads.waiting(model, nowMs) > 0;
+  private modelIdleMs(model: string, nowMs: number): number {
+    const isWaitedFor = this.entryLoads.waitingRequests(model, nowMs) > 0;
     return isWaitedFor ? 0 : this.demand.idleMs(model, nowMs);
   }
 
   /** For models that were asked for lately and that nobody holds. */
-  private copiesInMs(nowMs: number): Record<string, number> {
+  private estimateCopyDelays(nowMs: number): Record<string, number> {
     const left: Record<string, number> = {};
     const controllers = [...this.controllers.values()];
     const served = new Set(controllers.flatMap(each => each.servingModels()));
-    for (const {engine} of this.deps.view.current?.services.values() ?? []) {
+    for (const {engine} of this.deps.view.currentConfig?.services.values() ??
+      []) {
       for (const spec of engine?.models.values() ?? []) {
         if (served.has(spec.name)) continue;
-        if (this.idleMs(spec.name, nowMs) > ASKED_LATELY_MS) continue;
-        left[spec.name] = Math.round(copyInMs(spec, controllers));
+        if (this.modelIdleMs(spec.name, nowMs) > RECENT_DEMAND_MS) continue;
+        left[spec.name] = Math.round(estimateCopyDelayMs(spec, controllers));
       }
     }
     return left;
   }
 
-  private toldRunners(): ToldRunner[] {
+  private reportedRunners(): ToldRunner[] {
     return [...this.controllers.values()]
-      .filter(controller => controller.isKnown)
+      .filter(controller => controller.isReady)
       .map(controller => ({
         runnerId: controller.registration.runnerId,
         models: controller.isReachable ? controller.servingModels() : [],
@@ -321,7 +328,7 @@
       return {isThere: false, reason: 'not-holder'};
     }
     const controller = this.controllers.get(input.runnerId);
-    if (!controller?.isKnown) return {isThere: false, reason: 'runner-unknown'};
+    if (!controller?.isReady) return {isThere: false, reason: 'runner-unknown'};
     const engine = this.engineOf(controller.registration);
     if (!engine || view.runner(input.runnerId)?.leaving) {
       return {isThere: false, reason: 'runner-leaving'};
@@ -346,14 +353,14 @@
   }
 
   /** Entries heard of lately, the last heard first. */
-  peers(): string[] {
-    const heard = this.loads.members(this.deps.clock.nowMs());
-    return heard.map(({address}) => address);
+  activeEntryAddresses(): string[] {
+    const members = this.entryLoads.members(this.deps.clock.nowMs());
+    return members.map(({address}) => address);
   }
 
   lastOrder(later: LaterHolder): LastOrder {
     const {clock, isLeaving, lease} = this.deps;
-    const isOutOfTouch = lease.yieldTo(later.generation, later.address);
+    const wasOutOfTouch = lease.yieldTo(later.generation, later.address);
     let latestMs: number | undefined;
     for (const {lastOrderMs} of this.controllers.values()) {
       if (lastOrderMs === undefined) continue;
@@ -362,7 +369,7 @@
     return {
       agoMs: latestMs === undefined ? undefined : clock.nowMs() - latestMs,
       upMs: clock.nowMs() - this.startedMs,
-      isOver: isLeaving() || isOutOfTouch,
+      isOver: isLeaving() || wasOutOfTouch,
     };
   }
 
@@ -375,7 +382,7 @@
     'runner-removed': ({runnerId}) => this.controllers.delete(runnerId),
   };
 
-  private noteViewChange(change: ViewChange): void {
+  private handleViewChange(change: ViewChange): void {
     this.viewHandlers[change.kind](change as never);
   }
 
@@ -392,7 +399,7 @@
     if (!registration || !this.engineOf(registration)) return;
     const known = this.controllers.get(runnerId);
     if (known && known.registration.bornMs >= registration.bornMs) return;
-    this.control(registration);
+    this.createController(registration);
   }
 
   /**
@@ -400,7 +407,7 @@
    * runner that starts again holds nothing, and by what was known of before its
    * callers would be sent to models that aren't there.
    */
-  private control(registration: RunnerRegistration): RunnerController {
+  private createController(registration: RunnerRegistration): RunnerController {
     const {clock, logger, metrics, lease, control, holder} = this.deps;
     const {runnerId} = registration;
     const created = new RunnerController(registration, {
@@ -411,23 +418,23 @@
       control,
       holder,
       isAdapterInUse: adapter =>
-        this.loads.isAdapterInUse(runnerId, adapter, clock.nowMs()),
+        this.entryLoads.isAdapterInUse(runnerId, adapter, clock.nowMs()),
     });
     this.controllers.set(runnerId, created);
     return created;
   }
 
   private engineOf({service}: RunnerRegistration): EngineSpec | undefined {
-    return this.deps.view.current?.services.get(service)?.engine;
+    return this.deps.view.currentConfig?.services.get(service)?.engine;
   }
 
-  private askReports(): void {
+  private pollReports(): void {
     if (!this.deps.lease.current().isHolder) return;
-    this.reports.askDue([...this.controllers.values()]);
+    this.reportPoller.pollDue([...this.controllers.values()]);
   }
 
   /** The controller of the life that reports; undefined for a life before. */
-  private lifeOf(
+  private controllerFor(
     asked: RunnerController,
     {bornMs}: RunnerReport,
   ): RunnerController | undefined {
@@ -437,10 +444,10 @@
     if (!current || bornMs < current.registration.bornMs) return undefined;
     if (bornMs === current.registration.bornMs) return current;
     this.deps.logger.info('runner-restarted', {runner: runnerId, bornMs});
-    return this.control({...registration, bornMs, models: []});
+    return this.createController({...registration, bornMs, models: []});
   }
 
-  private planSoon(): void {
+  private planIfDue(): void {
     const {clock, options} = this.deps;
     if (clock.nowMs() - this.plannedMs >= options.urgentIntervalMs) this.plan();
   }
@@ -448,10 +455,10 @@
   private plan(): void {
     const {lease, view, clock, metrics} = this.deps;
     const nowMs = clock.nowMs();
-    if (nowMs - this.plannedMs < restMsOf(this.planTookMs)) return;
+    if (nowMs - this.plannedMs < pauseAfterMs(this.planTookMs)) return;
     this.plannedMs = nowMs;
     if (!lease.current().isHolder) return;
-    for (const {name, engine} of view.current?.services.values() ?? []) {
+    for (const {name, engine} of view.currentConfig?.services.values() ?? []) {
       if (engine) this.planService(name, engine);
     }
     this.planTookMs = clock.nowMs() - this.plannedMs;
@@ -467,8 +474,8 @@
       const known = view.runner(runnerId);
       if (known?.service !== service || known.leaving) continue;
       if (!controller.isReachable) continue;
-      const inUse = this.loads.modelsInUse(runnerId, nowMs);
-      runners.push({...copyRunnerOf(controller, engine), inUse});
+      const inUse = this.entryLoads.modelsInUse(runnerId, nowMs);
+      runners.push({...toCopyRunner(controller, engine), inUse});
     }
     const orders = planCopies({
       runners,
@@ -481,26 +488,29 @@
           memoryLoadMs,
           workPerSecond: this.demand.workPerSecond(name, nowMs),
           requestsPerSecond: this.demand.requestsPerSecond(name, nowMs),
-          usualRequestsPerSecond: this.demand.usualPerSecond(name, nowMs),
-          waiting: this.loads.waiting(name, nowMs),
-          idleMs: this.idleMs(name, nowMs),
+          usualRequestsPerSecond: this.demand.usualRequestsPerSecond(
+            name,
+            nowMs,
+          ),
+          waiting: this.entryLoads.waitingRequests(name, nowMs),
+          idleMs: this.modelIdleMs(name, nowMs),
         }),
       ),
-      mayMakeRoom: this.demand.knownForMs(nowMs) >= DEMAND_KNOWN_MS,
-      storeLoadsLeft: loadRate.left(engine.loadsPerSecond, nowMs),
+      mayMakeRoom: this.demand.observedForMs(nowMs) >= MIN_DEMAND_HISTORY_MS,
+      storeLoadsLeft: loadRate.remaining(engine.loadsPerSecond, nowMs),
     });
-    for (const order of orders) void this.give(order, engine);
+    for (const order of orders) void this.sendOrder(order, engine);
   }
 
-  private async give(order: CopyOrder, engine: EngineSpec): Promise<void> {
+  private async sendOrder(order: CopyOrder, engine: EngineSpec): Promise<void> {
     const controller = this.controllers.get(order.runnerId);
     if (!controller) return;
-    if (order.isFromStore) this.deps.loadRate.note(this.deps.clock.nowMs());
+    if (order.isFromStore) this.deps.loadRate.record(this.deps.clock.nowMs());
     const {kind, model, reason, roomFor} = order;
     const expectedMs =
       kind === 'load'
-        ? loadMsOf(engine.models.get(model), controller)
-        : UNLOAD_MS;
+        ? estimateLoadMs(engine.models.get(model), controller)
+        : EXPECTED_UNLOAD_MS;
     const outcome = await controller.orderModel(
       {kind, model, reason},
       expectedMs,
@@ -510,6 +520,6 @@
   }
 }
 
-function restMsOf(tookMs: number): number {
-  return Math.min(tookMs * REST_FACTOR, LONGEST_REST_MS);
+function pauseAfterMs(tookMs: number): number {
+  return Math.min(tookMs * PAUSE_FACTOR, MAX_PAUSE_MS);
 }
--- a/packages/banyanfold-gateway/src/placement/leaseKeeper.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseManager.ts
@@ -8,7 +8,7 @@
   LeaseStore,
 } from '../types.js';
 
-export interface LeaseKeeperOptions {
+export interface LeaseManagerOptions {
   clock: Clock;
   logger: Logger;
   store: LeaseStore;
@@ -19,7 +19,7 @@
   /** A process that ran without trouble for this long counts as in touch. */
   contactMs: number;
   /** Asks the holder before this one; undefined when it doesn't answer. */
-  askFormer: (
+  queryFormerHolder: (
     address: string,
     generation: number,
   ) => Promise<LastOrder | undefined>;
@@ -36,7 +36,7 @@
 }
 
 /** A moment on both clocks. */
-interface Moment {
+interface ClockReading {
   steadyMs: number;
   wallMs: number;
 }
@@ -44,17 +44,17 @@
 /** Renewals a lease lasts for, so that one lost answer doesn't end it. */
 const RENEWALS_PER_TTL = 4;
 /** Lifetimes of the lease after which another process has it, if any takes it. */
-const SUCCEEDED_TTLS = 2;
+const SUCCESSION_TTLS = 2;
 /** Not used of the lease at its end: for an order on its way, and clocks. */
 const LEASE_MARGIN_MS = 150;
 /** Renewals end after 1.5 s without an answer, and begin anew. */
-const FAILURE_FRESH_MS = 2_500;
+const RECENT_FAILURE_MS = 2_500;
 /** Tokens of one generation; it goes from peer to peer far less often. */
-const HANDOVERS = 1_000;
+const MAX_HANDOVERS = 1_000;
 /** The store counts the changes of a group from 1. */
 const FIRST_GENERATION = 1;
 /** Who holds it is asked again no sooner than this. */
-const OWNER_QUERY_PAUSE_MS = 300;
+const OWNER_QUERY_INTERVAL_MS = 300;
 
 /**
  * Keeps this process in the group among whose members the store deals the one
@@ -67,36 +67,36 @@
  * suspended and the time of day may jump; the longer of both spans counts, so a
  * jump ends the lease early at worst.
  */
-export class LeaseKeeper implements LeaseSource {
+export class LeaseManager implements LeaseSource {
   private timer: Timer | undefined;
   private isStopped = false;
   private isStandby = true;
   private generation = 0;
   /** Times that it went from peer to peer within this generation. */
-  private handedOver = 0;
-  private keepsToEnd = false;
-  private ownsIt = false;
-  private renewedAt: Moment | undefined;
+  private handoverCount = 0;
+  private keepsUntilExit = false;
+  private ownsLease = false;
+  private renewedAt: ClockReading | undefined;
   /** When the renewal was sent that failed last. */
-  private failedAt: Moment | undefined;
-  private isStoreLost = false;
+  private failedAt: ClockReading | undefined;
+  private isStoreDown = false;
   /** On the steady clock, on which a wait is never too short. */
-  private orderFromMs = Number.POSITIVE_INFINITY;
+  private ordersAllowedFromMs = Number.POSITIVE_INFINITY;
   private holderAddress: string | undefined;
   /** The last other process that held it. */
   private formerHolder: string | undefined;
-  private readonly startedAt: Moment;
-  private ownerAskedMs = Number.NEGATIVE_INFINITY;
+  private readonly startedAt: ClockReading;
+  private ownerQueriedMs = Number.NEGATIVE_INFINITY;
   private isVacant = false;
   private wasHolder = false;
   private term = 0;
 
-  constructor(private readonly options: LeaseKeeperOptions) {
+  constructor(private readonly options: LeaseManagerOptions) {
     this.startedAt = this.now();
   }
 
   start(): void {
-    void this.begin();
+    void this.joinOrDefer();
   }
 
   /**
@@ -105,11 +105,11 @@
    * processes that started on a busy day took it from its holder, and nobody
    * ordered for 4 s.
    */
-  private async begin(): Promise<void> {
+  private async joinOrDefer(): Promise<void> {
     const {isFirstStart} = this.options;
     if (!isFirstStart) {
       const owner = await this.options.store.owner();
-      if (this.leavesItTo(owner.unwrapOr(undefined))) return;
+      if (this.deferTo(owner.unwrapOr(undefined))) return;
     }
     if (this.isStopped) return;
     await this.renew();
@@ -117,15 +117,15 @@
 
   current(): LeaseState {
     const isHolder =
-      this.ownsIt &&
-      (!this.hasLapsed() || this.mayGoOn() || this.keepsToEnd) &&
-      this.options.clock.nowMs() >= this.orderFromMs;
-    if (isHolder !== this.wasHolder) this.noteChange(isHolder);
+      this.ownsLease &&
+      (!this.hasLapsed() || this.mayExtendLease() || this.keepsUntilExit) &&
+      this.options.clock.nowMs() >= this.ordersAllowedFromMs;
+    if (isHolder !== this.wasHolder) this.reportRoleChange(isHolder);
     return {
       isHolder,
-      owns: this.ownsIt,
+      owns: this.ownsLease,
       isVacant: this.isVacant,
-      fencingToken: this.generation * HANDOVERS + this.handedOver,
+      fencingToken: this.generation * MAX_HANDOVERS + this.handoverCount,
       term: this.term,
       holderAddress: this.holderAddress,
     };
@@ -144,8 +144,8 @@
       (this.failedAt !== undefined &&
         this.elapsedMs(this.failedAt) < contactMs * 2);
     if (generation > this.generation) this.noteHolder(address);
-    if (generation > this.generation && this.ownsIt) {
-      this.ownsIt = false;
+    if (generation > this.generation && this.ownsLease) {
+      this.ownsLease = false;
       this.options.logger.info('lease-yielded', {generation, isOutOfTouch});
       this.current();
     }
@@ -158,8 +158,8 @@
    */
   noteHolder(address: string | undefined): void {
     if (address === undefined || address === this.holderAddress) return;
-    if (this.ownsIt && !this.hasLapsed()) return;
-    this.noteHolderAddress(address);
+    if (this.ownsLease && !this.hasLapsed()) return;
+    this.recordHolderAddress(address);
     this.options.logger.info('holder', {address, from: 'peer'});
   }
 
@@ -173,9 +173,12 @@
   setStandby(isStandby: boolean): void {
     if (this.isStopped || isStandby === this.isStandby) return;
     this.isStandby = isStandby;
-    this.options.logger.info('lease-standby', {isStandby, held: this.ownsIt});
+    this.options.logger.info('lease-standby', {
+      isStandby,
+      held: this.ownsLease,
+    });
     if (isStandby) void this.renew();
-    else void this.standAside();
+    else void this.leaveGroup();
   }
 
   /** A runner has seen a higher token than this process's. */
@@ -185,9 +188,9 @@
 
   refreshHolder(): void {
     const nowMs = this.options.clock.nowMs();
-    if (nowMs - this.ownerAskedMs < OWNER_QUERY_PAUSE_MS) return;
-    this.ownerAskedMs = nowMs;
-    void this.askOwner();
+    if (nowMs - this.ownerQueriedMs < OWNER_QUERY_INTERVAL_MS) return;
+    this.ownerQueriedMs = nowMs;
+    void this.queryOwner();
   }
 
   /**
@@ -198,13 +201,13 @@
   async release(): Promise<void> {
     this.isStopped = true;
     this.timer?.cancel();
-    const isHeld = this.ownsIt;
+    const isHeld = this.ownsLease;
     // The store may take the call and its answer be lost; the next holder's
     // orders and this one's would then reach the same runner by turns.
-    if (!this.options.areRunnersFenced) this.endOrders();
+    if (!this.options.areRunnersFenced) this.stopOrders();
     const left = await this.options.store.leave();
     if (left.isOk()) {
-      this.ownsIt = false;
+      this.ownsLease = false;
       this.current();
       return;
     }
@@ -213,14 +216,14 @@
     if (!isHeld || !this.options.areRunnersFenced) return;
     const takenBy = await handOver({
       generation: this.generation,
-      step: this.handedOver + 1,
+      step: this.handoverCount + 1,
     });
     logger.info('lease-handed-over', {takenBy});
-    this.ownsIt = takenBy === undefined;
-    this.keepsToEnd = this.ownsIt;
+    this.ownsLease = takenBy === undefined;
+    this.keepsUntilExit = this.ownsLease;
     // Peers that still ask this process learn it in no other way: the store,
     // which is out, says who holds the lease only when it is back.
-    if (takenBy !== undefined) this.noteHolderAddress(takenBy);
+    if (takenBy !== undefined) this.recordHolderAddress(takenBy);
     this.current();
   }
 
@@ -231,28 +234,28 @@
    */
   takeOver({generation, step}: LeaseHandover): boolean {
     const isLate = generation < this.generation;
-    if (this.isStopped || isLate || !this.mayGoOn()) return false;
+    if (this.isStopped || isLate || !this.mayExtendLease()) return false;
     this.generation = generation;
-    this.handedOver = step;
-    this.ownsIt = true;
+    this.handoverCount = step;
+    this.ownsLease = true;
     this.term += 1;
-    this.orderFromMs = this.options.clock.nowMs();
+    this.ordersAllowedFromMs = this.options.clock.nowMs();
     this.holderAddress = this.options.address;
     this.options.logger.info('lease-taken-over', {generation, step});
     this.current();
     return true;
   }
 
-  private endOrders(): void {
-    this.ownsIt = false;
+  private stopOrders(): void {
+    this.ownsLease = false;
     this.current();
   }
 
   /** Orders end before the store may give the lease to another. */
-  private async standAside(): Promise<void> {
+  private async leaveGroup(): Promise<void> {
     this.timer?.cancel();
     this.renewedAt = undefined;
-    this.endOrders();
+    this.stopOrders();
     const left = await this.options.store.leave();
     // The store drops a member that is silent, a little later.
     if (left.isErr()) {
@@ -270,30 +273,30 @@
     if (this.isStopped || !this.isStandby) return;
     if (joined.isOk()) {
       const {generation, owns} = joined.value;
-      if (this.isStoreLost) logger.info('lease-renewed', {generation, owns});
-      this.isStoreLost = false;
+      if (this.isStoreDown) logger.info('lease-renewed', {generation, owns});
+      this.isStoreDown = false;
       // Without checks at the runners, one that went to another and came back
       // is as good as new: the other one may have ordered a moment ago.
       const hasMoved = this.hasLapsed() && generation !== this.generation;
       const isFenced = this.options.areRunnersFenced;
-      const isGained = owns && (!this.ownsIt || (hasMoved && !isFenced));
+      const isGained = owns && (!this.ownsLease || (hasMoved && !isFenced));
       // It may have gone to another and come back between two renewals.
       if (isGained || (owns && this.hasLapsed())) this.term += 1;
-      if (!owns && this.ownsIt) logger.info('lease-lost', {generation});
+      if (!owns && this.ownsLease) logger.info('lease-lost', {generation});
       this.generation = generation;
-      this.handedOver = 0;
-      this.ownsIt = owns;
+      this.handoverCount = 0;
+      this.ownsLease = owns;
       this.renewedAt = sentAt;
-      if (isGained) void this.waitForFormer();
+      if (isGained) void this.waitForFormerHolder();
     } else {
       // Once for each loss: it is tried four times a second.
-      if (!this.isStoreLost) {
+      if (!this.isStoreDown) {
         logger.warn('lease-renewal-failed', {error: joined.error.message});
       }
-      this.isStoreLost = true;
+      this.isStoreDown = true;
       this.failedAt = sentAt;
       // After a lapse another one may have ordered; the wait begins anew.
-      if (this.hasLapsed() && !this.mayGoOn()) this.ownsIt = false;
+      if (this.hasLapsed() && !this.mayExtendLease()) this.ownsLease = false;
     }
     this.current();
     const delayMs = ttlMs / RENEWALS_PER_TTL;
@@ -307,14 +310,14 @@
    * is asked only after a while: where it turns most calls away, as when hundreds of
    * processes start, a question takes the place of the renewal.
    */
-  private mayBeSucceeded(): boolean {
+  private mayHaveSuccessor(): boolean {
     const {renewedAt, failedAt} = this;
     if (!renewedAt || !this.hasLapsed()) return false;
-    const isFailing =
-      failedAt !== undefined && this.elapsedMs(failedAt) < FAILURE_FRESH_MS;
-    const isLong =
-      this.elapsedMs(renewedAt) >= this.options.ttlMs * SUCCEEDED_TTLS;
-    return !isFailing || isLong;
+    const hasRecentFailure =
+      failedAt !== undefined && this.elapsedMs(failedAt) < RECENT_FAILURE_MS;
+    const isLongLapsed =
+      this.elapsedMs(renewedAt) >= this.options.ttlMs * SUCCESSION_TTLS;
+    return !hasRecentFailure || isLongLapsed;
   }
 
   /**
@@ -326,11 +329,11 @@
     Result<LeaseAnswer, BanyanfoldError> | 'left-to-another'
   > {
     const {store} = this.options;
-    if (this.mayBeSucceeded()) {
+    if (this.mayHaveSuccessor()) {
       const owner = await store.owner();
       // A store that turns most calls away may take a renewal, which counts less.
       if (owner.isErr()) this.failedAt = this.now();
-      if (this.leavesItTo(owner.unwrapOr(undefined))) return 'left-to-another';
+      if (this.deferTo(owner.unwrapOr(undefined))) return 'left-to-another';
     }
     return store.join(this.generation);
   }
@@ -348,25 +351,33 @@
    * A former holder's orders end with its lease, before the store gives it to
    * another, so that `leaseMs` from here is enough without any answer.
    */
-  private async waitForFormer(): Promise<void> {
-    const {leaseMs, contactMs, logger, clock, askFormer, address} =
-      this.options;
+  private async waitForFormerHolder(): Promise<void> {
+    const {
+      leaseMs,
+      contactMs,
+      logger,
+      clock,
+      queryFormerHolder: askFormer,
+      address,
+    } = this.options;
     const generation = this.generation;
-    this.orderFromMs = clock.nowMs() + leaseMs;
+    this.ordersAllowedFromMs = clock.nowMs() + leaseMs;
     const former = this.formerHolder;
     const isFenced = this.options.areRunnersFenced;
     let waitMs = leaseMs;
     if (former !== undefined) {
       const last = await askFormer(former, generation);
-      const isDone = isFenced && (last === undefined || last.isOver);
-      waitMs = isDone ? 0 : Math.max(0, leaseMs - agoMsOf(last, isFenced));
+      const hasFormerStopped = isFenced && (last === undefined || last.isOver);
+      waitMs = hasFormerStopped
+        ? 0
+        : Math.max(0, leaseMs - sinceLastOrderMs(last, isFenced));
       if (this.generation !== generation) waitMs = leaseMs;
     }
     const hasJustStarted = this.elapsedMs(this.startedAt) < contactMs;
     if (isFenced && hasJustStarted) waitMs = 0;
     // Nobody has had the lease before in the group's first generation.
     if (generation === FIRST_GENERATION) waitMs = 0;
-    this.orderFromMs = clock.nowMs() + waitMs;
+    this.ordersAllowedFromMs = clock.nowMs() + waitMs;
     this.formerHolder = undefined;
     this.holderAddress = address;
     logger.info('lease-gained', {generation, former, orderInMs: waitMs});
@@ -381,9 +392,9 @@
    * many came before it. A process that has just woken up has not seen its
    * renewals fail and must hear from the store first.
    */
-  private mayGoOn(): boolean {
+  private mayExtendLease(): boolean {
     if (!this.options.areRunnersFenced || !this.failedAt) return false;
-    return this.elapsedMs(this.failedAt) < FAILURE_FRESH_MS;
+    return this.elapsedMs(this.failedAt) < RECENT_FAILURE_MS;
   }
 
   /**
@@ -394,20 +405,20 @@
    *
    * @param other the address that the store names as the holder.
    */
-  private leavesItTo(other: string | undefined): boolean {
+  private deferTo(other: string | undefined): boolean {
     const {address, logger} = this.options;
     if (other === undefined || other === address) return false;
     this.isStandby = false;
-    this.ownsIt = false;
+    this.ownsLease = false;
     // When told to come back it joins, whoever the store still names as holder.
     this.renewedAt = undefined;
-    this.noteHolderAddress(other);
+    this.recordHolderAddress(other);
     logger.info('lease-left', {holder: other});
     this.current();
     return true;
   }
 
-  private now(): Moment {
+  private now(): ClockReading {
     const {clock} = this.options;
     return {steadyMs: clock.nowMs(), wallMs: clock.wallMs()};
   }
@@ -418,12 +429,12 @@
     return this.elapsedMs(this.renewedAt) >= lapseMs;
   }
 
-  private elapsedMs(since: Moment): number {
+  private elapsedMs(since: ClockReading): number {
     const now = this.now();
     return Math.max(now.steadyMs - since.steadyMs, now.wallMs - since.wallMs);
   }
 
-  private async askOwner(): Promise<void> {
+  private async queryOwner(): Promise<void> {
     const owner = await this.options.store.owner();
     if (owner.isErr()) {
       this.options.logger.warn('lease-owner-unknown', {
@@ -433,12 +444,12 @@
     }
     this.isVacant = owner.value === undefined;
     if (owner.value === this.holderAddress) return;
-    this.noteHolderAddress(owner.value);
+    this.recordHolderAddress(owner.value);
     this.options.logger.info('holder', {address: owner.value});
   }
 
   /** The last other process that held it is the one to ask. */
-  private noteHolderAddress(holderAddress: string | undefined): void {
+  private recordHolderAddress(holderAddress: string | undefined): void {
     this.holderAddress = holderAddress;
     if (holderAddress === undefined) return;
     this.isVacant = false;
@@ -447,7 +458,7 @@
     }
   }
 
-  private noteChange(isHolder: boolean): void {
+  private reportRoleChange(isHolder: boolean): void {
     this.wasHolder = isHolder;
     this.options.logger.info(isHolder ? 'orders-begin' : 'orders-end', {
       generation: this.generation,
@@ -457,7 +468,10 @@
 }
 
 /** Since a former holder's last order, as far as its answer says. */
-function agoMsOf(last: LastOrder | undefined, isFenced: boolean): number {
+function sinceLastOrderMs(
+  last: LastOrder | undefined,
+  isFenced: boolean,
+): number {
   if (!last) return 0;
   if (last.agoMs !== undefined) return last.agoMs;
   // One that has started since may have ordered in its life before.
--- a/packages/banyanfold-gateway/src/placement/leaseTtlMs.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseTtlMs.ts
@@ -1,9 +1,9 @@
 /** Renewed four times in it; a dead holder is noticed after it. */
-const LEASE_TTL_MS = 1_000;
+const BASE_TTL_MS = 1_000;
 /** The share for which the shortest one was chosen; reasoned, not compared. */
-const ENOUGH_SHARE = 0.5;
+const REFERENCE_SHARE = 0.5;
 /** Without a holder nobody gets an adapter that isn't there, in ms. */
-const LONGEST_TTL_MS = 2_000;
+const MAX_TTL_MS = 2_000;
 
 /**
  * How long the lease of a process lasts without a renewal. One with less
@@ -16,7 +16,7 @@
  * @example leaseTtlMs(0.25, 1_000) // 2000
  */
 export function leaseTtlMs(processorShare: number, minMs: number): number {
-  const scaledMs = (LEASE_TTL_MS * ENOUGH_SHARE) / processorShare;
-  const boundedMs = Math.min(Math.max(scaledMs, LEASE_TTL_MS), LONGEST_TTL_MS);
+  const scaledMs = (BASE_TTL_MS * REFERENCE_SHARE) / processorShare;
+  const boundedMs = Math.min(Math.max(scaledMs, BASE_TTL_MS), MAX_TTL_MS);
   return Math.max(Math.round(boundedMs), minMs);
 }
--- a/packages/banyanfold-gateway/src/placement/loadRate.ts
+++ b/packages/banyanfold-gateway/src/placement/loadRate.ts
@@ -6,33 +6,33 @@
  * and 4 of these against 9. With none, callers of a model that nobody held waited
  * out the whole window after all processes were killed.
  */
-const LOADS_BEFORE_HEARD = 2;
+const LOADS_BEFORE_SYNC = 2;
 
 /**
  * Loads from the weight store within a sliding window. The store refuses none
  * but slows all of them down when more begin than it allows.
  */
 export class LoadRate {
-  private begunMs: number[] = [];
+  private startedMs: number[] = [];
 
   /**
-   * @param unknownUntilMs until then others may have begun as many loads as are
+   * @param unsyncedUntilMs until then others may have begun as many loads as are
    *   allowed; a process that has just started has not heard of them yet, and
    *   with a window of its own the store would get twice as many. It begins only
    *   as many as the store bears over its rate.
    */
   constructor(
     private readonly windowMs: number,
-    private unknownUntilMs: number,
+    private unsyncedUntilMs: number,
   ) {}
 
-  note(nowMs: number): void {
-    this.begunMs.push(nowMs);
+  record(nowMs: number): void {
+    this.startedMs.push(nowMs);
   }
 
   /** Since each load that still counts, for the next holder. */
-  agesMs(nowMs: number): number[] {
-    return this.begunMs
+  loadAgesMs(nowMs: number): number[] {
+    return this.startedMs
       .map(atMs => nowMs - atMs)
       .filter(ageMs => ageMs < this.windowMs);
   }
@@ -41,19 +41,21 @@
    * What the holder has begun. A new holder that counted only its own would
    * begin as many again within the same window.
    */
-  learn(agesMs: readonly number[], nowMs: number): void {
-    this.unknownUntilMs = Number.NEGATIVE_INFINITY;
-    this.begunMs = agesMs.map(ageMs => nowMs - ageMs);
+  restore(agesMs: readonly number[], nowMs: number): void {
+    this.unsyncedUntilMs = Number.NEGATIVE_INFINITY;
+    this.startedMs = agesMs.map(ageMs => nowMs - ageMs);
   }
 
-  left(loadsPerSecond: number, nowMs: number): number {
-    this.begunMs = this.begunMs.filter(atMs => nowMs - atMs < this.windowMs);
-    if (nowMs < this.unknownUntilMs) {
-      return Math.max(0, LOADS_BEFORE_HEARD - this.begunMs.length);
+  remaining(loadsPerSecond: number, nowMs: number): number {
+    this.startedMs = this.startedMs.filter(
+      atMs => nowMs - atMs < this.windowMs,
+    );
+    if (nowMs < this.unsyncedUntilMs) {
+      return Math.max(0, LOADS_BEFORE_SYNC - this.startedMs.length);
     }
     const allowed = Math.floor(
       (loadsPerSecond * this.windowMs) / MS_PER_SECOND,
     );
-    return Math.max(0, Math.max(1, allowed) - this.begunMs.length);
+    return Math.max(0, Math.max(1, allowed) - this.startedMs.length);
   }
 }
--- a/packages/banyanfold-gateway/src/placement/reportAsker.ts
+++ b/packages/banyanfold-gateway/src/placement/reportPoller.ts
@@ -7,10 +7,10 @@
 /** Reports are asked for so often, a few at a time. */
 export const REPORT_TICK_MS = 50;
 /** Runners that nothing is known of which are asked at once. */
-const UNKNOWN_AT_ONCE = 32;
+const MAX_UNKNOWN_BURST = 32;
 const MS_PER_SECOND = 1000;
 
-export interface ReportAskerOptions {
+export interface ReportPollerOptions {
   clock: Clock;
   logger: Logger;
   control: RunnerControl;
@@ -25,28 +25,28 @@
 }
 
 /** Asks runners for their reports, within the holder's processor. */
-export class ReportAsker {
+export class ReportPoller {
   /** Runners that were asked and have not answered yet. */
-  private readonly open = new Set<string>();
-  private readonly askedMs = new WeakMap<RunnerController, number>();
-  private unknownLeft = UNKNOWN_AT_ONCE;
-  private unknownLeftMs: number;
+  private readonly inFlight = new Set<string>();
+  private readonly lastRequestedMs = new WeakMap<RunnerController, number>();
+  private unknownQuota = MAX_UNKNOWN_BURST;
+  private quotaUpdatedMs: number;
 
-  constructor(private readonly deps: ReportAskerOptions) {
-    this.unknownLeftMs = deps.clock.nowMs();
+  constructor(private readonly deps: ReportPollerOptions) {
+    this.quotaUpdatedMs = deps.clock.nowMs();
   }
 
   /** Asks those whose report is due, the longest unasked first. */
-  askDue(controllers: readonly RunnerController[]): void {
+  pollDue(controllers: readonly RunnerController[]): void {
     const {clock, options, processorShare} = this.deps;
     const nowMs = clock.nowMs();
-    this.refill(nowMs);
+    this.refillQuota(nowMs);
     const states = controllers
-      .filter(({registration}) => !this.open.has(registration.runnerId))
+      .filter(({registration}) => !this.inFlight.has(registration.runnerId))
       .map(controller => ({
         key: controller,
-        askedMs: this.askedMs.get(controller),
-        isAwaited: controller.awaitsReport,
+        lastRequestedMs: this.lastRequestedMs.get(controller),
+        isAwaited: controller.isReportDue,
         isUnknown: isUnknown(controller),
       }));
     const due = dueReports(states, nowMs, {
@@ -54,34 +54,34 @@
       intervalMs: options.reportIntervalMs,
       awaitedIntervalMs: options.busyReportIntervalMs,
       perSecond: options.reportsPerCoreSecond * processorShare,
-      unknownLeft: Math.floor(this.unknownLeft),
+      unknownQuota: Math.floor(this.unknownQuota),
     });
     for (const controller of due) {
-      if (isUnknown(controller)) this.unknownLeft -= 1;
-      void this.ask(controller);
+      if (isUnknown(controller)) this.unknownQuota -= 1;
+      void this.requestReport(controller);
     }
   }
 
-  private refill(nowMs: number): void {
+  private refillQuota(nowMs: number): void {
     const {options, processorShare} = this.deps;
     const perMs =
       (options.firstReportsPerCoreSecond * processorShare) / MS_PER_SECOND;
-    const earned = (nowMs - this.unknownLeftMs) * perMs;
-    this.unknownLeft = Math.min(UNKNOWN_AT_ONCE, this.unknownLeft + earned);
-    this.unknownLeftMs = nowMs;
+    const gained = (nowMs - this.quotaUpdatedMs) * perMs;
+    this.unknownQuota = Math.min(MAX_UNKNOWN_BURST, this.unknownQuota + gained);
+    this.quotaUpdatedMs = nowMs;
   }
 
-  private async ask(controller: RunnerController): Promise<void> {
+  private async requestReport(controller: RunnerController): Promise<void> {
     const {control, logger, clock, onReport} = this.deps;
     const {runnerId, address} = controller.registration;
-    if (this.open.has(runnerId)) return;
-    this.open.add(runnerId);
+    if (this.inFlight.has(runnerId)) return;
+    this.inFlight.add(runnerId);
     const askedMs = clock.nowMs();
-    this.askedMs.set(controller, askedMs);
+    this.lastRequestedMs.set(controller, askedMs);
     const answer = await control.report(runnerId, address);
-    this.open.delete(runnerId);
+    this.inFlight.delete(runnerId);
     if (answer.isOk()) return onReport(controller, answer.value, askedMs);
-    controller.noteReportFailed();
+    controller.recordReportFailure();
     logger.warn('report-failed', {
       runner: runnerId,
       error: answer.error.message,
@@ -94,6 +94,6 @@
  * one whose order is to be over is awaited in any case.
  */
 function isUnknown(controller: RunnerController): boolean {
-  const {isKnown, isReachable, awaitsReport} = controller;
+  const {isReady: isKnown, isReachable, isReportDue: awaitsReport} = controller;
   return !isKnown && isReachable && !awaitsReport;
 }
--- a/packages/banyanfold-gateway/src/placement/runnerController.ts
+++ b/packages/banyanfold-gateway/src/placement/runnerController.ts
@@ -38,19 +38,19 @@
   adapter: string;
   usedMs: number;
   /** Its load got no answer; the place counts as taken all the same. */
-  isDoubtful?: boolean;
+  isUnconfirmed?: boolean;
 }
 
 /** Reports are some hundred ms old; 200 to 260 ms were seen. */
-const REPORT_LAG_BOUND_MS = 1_000;
+const MAX_REPORT_LAG_MS = 1_000;
 /** One question may be lost on the way; after two its copies don't count. */
-const LOST_REPORTS = 2;
+const MAX_FAILED_REPORTS = 2;
 /**
  * An adapter that was asked for a moment ago is about to be used. When more are
  * asked for at once than there are places, taking it away again would have both
  * requests wait by turns.
  */
-const KEEP_ADAPTER_MS = 300;
+const MIN_ADAPTER_HOLD_MS = 300;
 /** A runner that turned an order away is left alone until its next report. */
 const CONFLICT_PAUSE_MS = 150;
 /** From 150 ms to 600; by then a report has come. */
@@ -60,13 +60,13 @@
  * A runner that left an order unanswered is not relied on for so long: three
  * loads in a row went to one that was about to go, and 58 callers waited for 5 s.
  */
-const SILENT_MS = 3_000;
+const UNRESPONSIVE_MS = 3_000;
 
 /** A registration of one that is gone lasts for three heartbeats of 1.2 s. */
-const GONE_MS = 4_000;
+const ADDRESS_REUSED_MS = 4_000;
 
 /** A load takes a few seconds; then the runner's report decides. */
-const BUSY_CAP_MS = 12_000;
+const MAX_BUSY_MS = 12_000;
 
 /**
  * All that the holder knows of one runner, and the one place from which it
@@ -83,63 +83,63 @@
   inMemory: readonly string[] = [];
   onDisk: readonly string[] = [];
   /** The model that is being loaded. */
-  loading: string | undefined;
+  loadingModel: string | undefined;
   /**
    * The model that is being unloaded. The runner goes on with its runs and
    * names it in reports until they are over, and refuses new ones.
    */
-  private unloading: string | undefined;
+  private unloadingModel: string | undefined;
   lastOrderMs: number | undefined;
   /** The last order that a runner may have taken on. */
-  private lastEffectMs: number | undefined;
-  private conflictsInARow = 0;
+  private lastPossibleEffectMs: number | undefined;
+  private consecutiveConflicts = 0;
   /** When another runner last answered at its address. */
-  private goneMs: number | undefined;
+  private addressReusedMs: number | undefined;
   /** When the last order turned out to be without an answer. */
   private unansweredMs: number | undefined;
   /** Room is being made for it. */
   intendedModel: string | undefined;
   /** Orders on models that wait here or have no answer yet. */
-  private modelOrdersOpen = 0;
+  private pendingModelOrders = 0;
   private busyUntilMs = 0;
   private expectedEndMs = 0;
   private failedReports = 0;
   private orderNumber: number | undefined;
   /** The lease's term in which the last report was taken. */
-  private knownInTerm: number | undefined;
+  private reportedInTerm: number | undefined;
   /** An answer left open whether the runner counted the order. */
-  private isNumberDoubtful = false;
+  private isOrderNumberUncertain = false;
   private queue: Promise<unknown> = Promise.resolve();
   /** Adapters that were ordered away and still serve. */
-  private readonly leaving = new Set<string>();
-  private readonly fetches = new Map<string, Promise<boolean>>();
+  private readonly unloadingAdapters = new Set<string>();
+  private readonly pendingFetches = new Map<string, Promise<boolean>>();
 
   constructor(
     readonly registration: RunnerRegistration,
     private readonly options: RunnerControllerOptions,
   ) {
-    this.adoptModels(registration);
+    this.addRegisteredModels(registration);
   }
 
   get isBusy(): boolean {
     const isUnderWay = this.options.clock.nowMs() < this.busyUntilMs;
-    return isUnderWay || this.modelOrdersOpen > 0;
+    return isUnderWay || this.pendingModelOrders > 0;
   }
 
   /** The order under way is expected to be over, so that a report will tell. */
-  get awaitsReport(): boolean {
+  get isReportDue(): boolean {
     return this.isBusy && this.options.clock.nowMs() >= this.expectedEndMs;
   }
 
   /** It left an order unanswered lately, as one does that is about to go. */
-  get isSilent(): boolean {
+  get isUnresponsive(): boolean {
     const {unansweredMs} = this;
     if (unansweredMs === undefined) return false;
-    return this.options.clock.nowMs() - unansweredMs < SILENT_MS;
+    return this.options.clock.nowMs() - unansweredMs < UNRESPONSIVE_MS;
   }
 
   /** Until the order under way is expected to be over. */
-  get leftMs(): number {
+  get remainingMs(): number {
     return Math.max(0, this.expectedEndMs - this.options.clock.nowMs());
   }
 
@@ -151,10 +151,10 @@
    * left memory that counted as free, and the next load would overfill the
    * runner, which crashes. A report tells both the number and what is held.
    */
-  get isKnown(): boolean {
+  get isReady(): boolean {
     return (
       this.orderNumber !== undefined &&
-      this.knownInTerm === this.options.lease.current().term
+      this.reportedInTerm === this.options.lease.current().term
     );
   }
 
@@ -164,16 +164,16 @@
    */
   get isReachable(): boolean {
     const isGone =
-      this.goneMs !== undefined &&
-      this.options.clock.nowMs() - this.goneMs < GONE_MS;
-    return !isGone && this.failedReports < LOST_REPORTS;
+      this.addressReusedMs !== undefined &&
+      this.options.clock.nowMs() - this.addressReusedMs < ADDRESS_REUSED_MS;
+    return !isGone && this.failedReports < MAX_FAILED_REPORTS;
   }
 
-  noteReportFailed(): void {
+  recordReportFailure(): void {
     this.failedReports += 1;
   }
 
-  noteUse(model: string, adapter: string): void {
+  recordAdapterUse(model: string, adapter: string): void {
     const held = this.adapters.get(adapterKey(model, adapter));
     if (held) held.usedMs = this.options.clock.nowMs();
   }
@@ -185,28 +185,28 @@
    * after the last order counts in any case, or a number that was counted too
    * high would have all reports left out and all orders refused for good.
    */
-  noteReport(report: RunnerReport, askedMs: number): void {
+  applyReport(report: RunnerReport, askedMs: number): void {
     const {options} = this;
     this.failedReports = 0;
     this.inMemory = report.inMemory;
     this.onDisk = report.onDisk;
     const isSettled =
-      this.lastEffectMs === undefined ||
-      askedMs - this.lastEffectMs >= REPORT_LAG_BOUND_MS;
-    const isOld =
+      this.lastPossibleEffectMs === undefined ||
+      askedMs - this.lastPossibleEffectMs >= MAX_REPORT_LAG_MS;
+    const isStale =
       this.orderNumber !== undefined && report.orderNumber < this.orderNumber;
-    if (!isSettled && (isOld || this.isNumberDoubtful)) return;
+    if (!isSettled && (isStale || this.isOrderNumberUncertain)) return;
     this.orderNumber = report.orderNumber;
-    this.knownInTerm = options.lease.current().term;
-    this.isNumberDoubtful = false;
+    this.reportedInTerm = options.lease.current().term;
+    this.isOrderNumberUncertain = false;
     if (report.busy) {
       // A load of the holder before this one takes memory that no report shows
       // until it is over; another one after it would overfill the runner.
-      this.busyUntilMs = options.clock.nowMs() + BUSY_CAP_MS;
+      this.busyUntilMs = options.clock.nowMs() + MAX_BUSY_MS;
     } else {
       this.busyUntilMs = 0;
-      this.loading = undefined;
-      this.unloading = undefined;
+      this.loadingModel = undefined;
+      this.unloadingModel = undefined;
     }
     this.models.clear();
     const nowMs = options.clock.nowMs();
@@ -214,18 +214,18 @@
     for (const {name, adapters} of report.models) {
       this.models.add(name);
       for (const adapter of adapters) seen.add(adapterKey(name, adapter));
-      for (const adapter of adapters) this.adopt(name, adapter, nowMs);
+      for (const adapter of adapters) this.addAdapter(name, adapter, nowMs);
     }
     for (const {model, adapter} of report.pendingAdapters) {
       seen.add(adapterKey(model, adapter));
-      this.adopt(model, adapter, nowMs);
+      this.addAdapter(model, adapter, nowMs);
     }
     for (const key of this.adapters.keys()) {
-      if (seen.has(key) || this.fetches.has(key)) continue;
+      if (seen.has(key) || this.pendingFetches.has(key)) continue;
       this.adapters.delete(key);
-      this.leaving.delete(key);
+      this.unloadingAdapters.delete(key);
     }
-    if (this.loading !== undefined) this.models.add(this.loading);
+    if (this.loadingModel !== undefined) this.models.add(this.loadingModel);
   }
 
   /** Brings an adapter here, making a place for it if need be. */
@@ -235,12 +235,12 @@
     adapterSlots: number,
   ): Promise<boolean> {
     const key = adapterKey(model, adapter);
-    const running = this.fetches.get(key);
+    const running = this.pendingFetches.get(key);
     if (running) return running;
     const fetch = this.enqueue(() =>
       this.fetchAdapter(model, adapter, adapterSlots),
-    ).finally(() => this.fetches.delete(key));
-    this.fetches.set(key, fetch);
+    ).finally(() => this.pendingFetches.delete(key));
+    this.pendingFetches.set(key, fetch);
     return fetch;
   }
 
@@ -250,19 +250,19 @@
    * @param expectedMs how long it is expected to take.
    */
   orderModel(order: ControllerOrder, expectedMs: number): Promise<OrderResult> {
-    this.modelOrdersOpen += 1;
+    this.pendingModelOrders += 1;
     return this.enqueue(async () => {
-      const outcome = await this.give(order);
-      this.modelOrdersOpen -= 1;
+      const outcome = await this.sendOrder(order);
+      this.pendingModelOrders -= 1;
       if (outcome === 'refused') return outcome;
       const nowMs = this.options.clock.nowMs();
-      this.busyUntilMs = nowMs + BUSY_CAP_MS;
+      this.busyUntilMs = nowMs + MAX_BUSY_MS;
       this.expectedEndMs = nowMs + expectedMs;
       if (order.kind === 'load') {
-        this.loading = order.model;
+        this.loadingModel = order.model;
         this.models.add(order.model);
       } else {
-        this.unloading = order.model;
+        this.unloadingModel = order.model;
         this.models.delete(order.model);
         for (const [key, held] of this.adapters) {
           if (held.model === order.model) this.adapters.delete(key);
@@ -274,13 +274,15 @@
 
   /** Adapters that serve now and stay. */
   servingAdapters(): string[] {
-    return [...this.adapters.keys()].filter(key => !this.leaving.has(key));
+    return [...this.adapters.keys()].filter(
+      key => !this.unloadingAdapters.has(key),
+    );
   }
 
   /** Models that serve now: the one being loaded doesn't yet. */
   servingModels(): string[] {
     return [...this.models].filter(
-      name => name !== this.loading && name !== this.unloading,
+      name => name !== this.loadingModel && name !== this.unloadingModel,
     );
   }
 
@@ -291,16 +293,16 @@
   ): Promise<boolean> {
     const {clock} = this.options;
     const key = adapterKey(model, adapter);
-    if (!this.models.has(model) || this.loading === model) return false;
+    if (!this.models.has(model) || this.loadingModel === model) return false;
     const held = this.adapters.get(key);
-    if (held && !this.leaving.has(key)) {
+    if (held && !this.unloadingAdapters.has(key)) {
       held.usedMs = clock.nowMs();
       return true;
     }
     // While a model comes or goes, a runner turns all other orders away.
     if (this.isBusy) return false;
-    if (!(await this.makePlace(adapterSlots))) return false;
-    const outcome = await this.give({
+    if (!(await this.freeAdapterSlot(adapterSlots))) return false;
+    const outcome = await this.sendOrder({
       kind: 'load',
       model,
       adapter,
@@ -309,7 +311,12 @@
     if (outcome === 'refused') return false;
     const nowMs = clock.nowMs();
     const isDoubtful = outcome === 'unknown';
-    this.adapters.set(key, {model, adapter, usedMs: nowMs, isDoubtful});
+    this.adapters.set(key, {
+      model,
+      adapter,
+      usedMs: nowMs,
+      isUnconfirmed: isDoubtful,
+    });
     return outcome !== 'unknown';
   }
 
@@ -319,17 +326,20 @@
    * One in use stays: its runner would refuse all other orders until the runs
    * are over, and callers of other adapters and models would wait that long.
    */
-  private async makePlace(adapterSlots: number): Promise<boolean> {
+  private async freeAdapterSlot(adapterSlots: number): Promise<boolean> {
     const {clock} = this.options;
     const byUse = [...this.adapters.entries()].sort(
       ([, a], [, b]) => a.usedMs - b.usedMs,
     );
-    for (const [key, {model, adapter, usedMs, isDoubtful}] of byUse) {
+    for (const [
+      key,
+      {model, adapter, usedMs, isUnconfirmed: isDoubtful},
+    ] of byUse) {
       if (this.adapters.size < adapterSlots) return true;
-      if (this.leaving.has(key)) continue;
+      if (this.unloadingAdapters.has(key)) continue;
       if (this.options.isAdapterInUse(key)) continue;
-      if (clock.nowMs() - usedMs < KEEP_ADAPTER_MS) return false;
-      const outcome = await this.give({
+      if (clock.nowMs() - usedMs < MIN_ADAPTER_HOLD_MS) return false;
+      const outcome = await this.sendOrder({
         kind: 'unload',
         model,
         adapter,
@@ -338,28 +348,28 @@
       // The answer is the same for one that went at once, which counts as an
       // order, and for one that was never there, which doesn't. Counted wrong,
       // all later orders were refused.
-      if (isDoubtful) this.isNumberDoubtful = true;
+      if (isDoubtful) this.isOrderNumberUncertain = true;
       // One in use goes when its runs are over. Its place counts as taken until
       // a report shows it gone; a load into it would overfill the runner.
       if (outcome === 'done') this.adapters.delete(key);
-      if (outcome === 'begun') this.leaving.add(key);
+      if (outcome === 'begun') this.unloadingAdapters.add(key);
       if (outcome !== 'done') return false;
     }
     return this.adapters.size < adapterSlots;
   }
 
-  private async give(order: ControllerOrder): Promise<OrderResult> {
+  private async sendOrder(order: ControllerOrder): Promise<OrderResult> {
     const {lease, control, holder, logger, metrics, clock} = this.options;
     const {runnerId, address} = this.registration;
     if (this.orderNumber === undefined) return 'refused';
-    if (!this.isKnown || this.isNumberDoubtful) return 'refused';
+    if (!this.isReady || this.isOrderNumberUncertain) return 'refused';
     const state = lease.current();
     if (!state.isHolder) return 'refused';
     const expectedOrderNumber = this.orderNumber;
     const sentMs = clock.nowMs();
-    const effectBeforeMs = this.lastEffectMs;
+    const previousEffectMs = this.lastPossibleEffectMs;
     this.lastOrderMs = sentMs;
-    this.lastEffectMs = sentMs;
+    this.lastPossibleEffectMs = sentMs;
     const answer = await control.order(runnerId, address, {
       kind: order.kind,
       model: order.model,
@@ -383,7 +393,7 @@
       tookMs: Math.round(clock.nowMs() - sentMs),
     });
     metrics.count('orders_total', {kind: order.kind, outcome});
-    if (outcome !== 'conflict') this.conflictsInARow = 0;
+    if (outcome !== 'conflict') this.consecutiveConflicts = 0;
     if (outcome === 'accepted') {
       this.orderNumber = Math.max(this.orderNumber, expectedOrderNumber + 1);
       return 'begun';
@@ -397,35 +407,38 @@
     }
     if (outcome === 'fenced') lease.noteFenced();
     // Another runner has the address; this one has ended.
-    if (outcome === 'other-runner') this.goneMs = clock.nowMs();
+    if (outcome === 'other-runner') this.addressReusedMs = clock.nowMs();
     if (outcome === 'conflict') {
-      this.noteConflict();
+      this.backOffAfterConflict();
       // It changed nothing. Counted as an order, each try put off the report
       // that tells the right number, and no order came about for five seconds.
-      this.lastEffectMs = effectBeforeMs;
+      this.lastPossibleEffectMs = previousEffectMs;
     }
     return outcome === 'unknown' ? 'unknown' : 'refused';
   }
 
-  private noteConflict(): void {
-    this.conflictsInARow += 1;
-    const doublings = Math.min(this.conflictsInARow - 1, CONFLICT_DOUBLINGS);
+  private backOffAfterConflict(): void {
+    this.consecutiveConflicts += 1;
+    const doublings = Math.min(
+      this.consecutiveConflicts - 1,
+      CONFLICT_DOUBLINGS,
+    );
     const pauseMs = CONFLICT_PAUSE_MS * 2 ** doublings;
     const endMs = this.options.clock.nowMs() + pauseMs;
     this.busyUntilMs = Math.max(this.busyUntilMs, endMs);
   }
 
-  private adopt(model: string, adapter: string, nowMs: number): void {
+  private addAdapter(model: string, adapter: string, nowMs: number): void {
     const key = adapterKey(model, adapter);
     if (this.adapters.has(key)) return;
     this.adapters.set(key, {model, adapter, usedMs: nowMs});
   }
 
-  private adoptModels({models}: RunnerRegistration): void {
+  private addRegisteredModels({models}: RunnerRegistration): void {
     const nowMs = this.options.clock.nowMs();
     for (const {name, adapters} of models ?? []) {
       this.models.add(name);
-      for (const adapter of adapters) this.adopt(name, adapter, nowMs);
+      for (const adapter of adapters) this.addAdapter(name, adapter, nowMs);
     }
   }
 
--- a/packages/banyanfold-gateway/src/placement/seenBatches.ts
+++ b/packages/banyanfold-gateway/src/placement/seenBatches.ts
@@ -7,7 +7,7 @@
   private readonly lastByEntry = new Map<string, string>();
 
   /** Whether the batch has not been taken yet; from now on it has. */
-  isNew(entry: string, batchId: string): boolean {
+  addIfNew(entry: string, batchId: string): boolean {
     if (this.lastByEntry.get(entry) === batchId) return false;
     this.lastByEntry.set(entry, batchId);
     return true;
--- a/packages/banyanfold-gateway/src/placement/copyRunnerOf.ts
+++ b/packages/banyanfold-gateway/src/placement/toCopyRunner.ts
@@ -3,7 +3,7 @@
 import type {RunnerController} from './runnerController.js';
 
 /** A runner as the plan of copies sees it, but for the requests under way. */
-export function copyRunnerOf(
+export function toCopyRunner(
   controller: RunnerController,
   engine: EngineSpec,
 ): Omit<CopyRunner, 'inUse'> {
@@ -18,12 +18,12 @@
     weightsMb: engine.weightsMb,
     reservedMb: engine.adapterSlots * adapterMb,
     models: [...controller.models],
-    isBusy: controller.isBusy || !controller.isKnown,
-    isSilent: controller.isSilent,
+    isBusy: controller.isBusy || !controller.isReady,
+    isSilent: controller.isUnresponsive,
     inMemory: controller.inMemory,
     onDisk: controller.onDisk,
     intendedModel: controller.intendedModel,
-    loadingModel: controller.loading,
-    loadingLeftMs: controller.leftMs,
+    loadingModel: controller.loadingModel,
+    loadingLeftMs: controller.remainingMs,
   };
 }
--- a/packages/banyanfold-gateway/src/requests/answerRelay.ts
+++ b/packages/banyanfold-gateway/src/requests/answerRelay.ts
@@ -171,7 +171,7 @@
           return;
         }
         const ended = incoming;
-        void connection.endedInOrder().then(isWhole => {
+        void connection.endedCleanly().then(isWhole => {
           if (!this.current) return;
           if (isWhole) settle(this.conclude(ended, splitter));
           else settle(cutOffBy('reset before the end'));
--- a/packages/banyanfold-gateway/src/requests/ownRefusals.ts
+++ b/packages/banyanfold-gateway/src/requests/ownRefusals.ts
@@ -66,7 +66,7 @@
   withoutCopy(): CopyRefusal | undefined {
     const {context, request} = this.options;
     if (request.model === undefined) return undefined;
-    const copyInMs = context.held.copyInMs(request.model);
+    const copyInMs = context.held.copyDelayMs(request.model);
     const view = {...this.left(), copyInMs};
     const decision = decideWait(view);
     return decision.kind === 'refuse' ? {view, decision} : undefined;
@@ -75,7 +75,7 @@
   private slotsOf(runnerId: string): number | undefined {
     const {view} = this.options.context;
     const service = view.runner(runnerId)?.service;
-    return view.current?.services.get(service ?? '')?.engine?.slots;
+    return view.currentConfig?.services.get(service ?? '')?.engine?.slots;
   }
 
   private left(): {leftMs: number; deadlineLeftMs: number} {
--- a/packages/banyanfold-gateway/src/requests/requestLog.ts
+++ b/packages/banyanfold-gateway/src/requests/requestLog.ts
@@ -49,7 +49,7 @@
       openWork: context.states.openWork(runner.runnerId).toFixed(1),
       copiesAgeMs: this.copiesAgeMs(),
       heartbeat: runner.heartbeatNumber,
-      config: context.view.current?.version,
+      config: context.view.currentConfig?.version,
       leftMs: this.leftMs(),
       waitedMs: Math.round(context.clock.nowMs() - startedMs),
       reused: isReused,
@@ -66,7 +66,7 @@
       adapter,
       ...counts,
       copiesAgeMs: this.copiesAgeMs(),
-      config: context.view.current?.version,
+      config: context.view.currentConfig?.version,
       leftMs: this.leftMs(),
     });
   }
@@ -117,7 +117,7 @@
       asked,
       left: Math.round(left),
       toldAgeMs: context.usage.toldAgeMs,
-      config: context.view.current?.version,
+      config: context.view.currentConfig?.version,
       retryAfterMs: Math.round(retryAfterMs),
     });
   }
--- a/packages/banyanfold-gateway/src/requests/requestRun.ts
+++ b/packages/banyanfold-gateway/src/requests/requestRun.ts
@@ -3,7 +3,7 @@
 import type {Timer} from '@banyanfold/core';
 import type {GatewayContext} from '../context.js';
 import {adapterKey} from '../runners/heldCopies.js';
-import type {PromptTurn} from '../runners/promptGate.js';
+import type {PromptPermit} from '../runners/promptGate.js';
 import type {StartedWork} from '../runners/runnerStates.js';
 import type {CallerIdentity} from '../callers/callerIdentity.js';
 import type {DecodedRequest, Organisation, RoutePolicy} from '../types.js';
@@ -83,7 +83,7 @@
   private hasWaited = false;
   private endWaiting: (() => void) | undefined;
   private nextPauseMs = 0;
-  private turn: PromptTurn | undefined;
+  private turn: PromptPermit | undefined;
 
   constructor(private readonly options: RequestRunOptions) {
     const {context, request, route, decoded, body, startedMs, response} =
@@ -176,10 +176,10 @@
     if (this.suspicion.verdict === 'quarantined') return this.endQuarantined();
     if (this.isOverCap()) return;
     if (model !== undefined) {
-      const {leastUrgent} = context.view;
+      const {lowestPriority: leastUrgent} = context.view;
       const urgency = urgencyOf(this.options.route.priority, leastUrgent);
       const tokens = {promptTokens, maxOutputTokens};
-      context.demand.noteArrival({model, adapter, urgency, ...tokens});
+      context.demand.recordArrival({model, adapter, urgency, ...tokens});
       context.coming.note(model, this.started.work.read);
     }
     context.retryBudgetOf(this.service).noteAttempt();
@@ -215,14 +215,14 @@
   private async tryAt(target: Target): Promise<AttemptResult | undefined> {
     const {runnerId} = target.runner;
     const {rateLimits} = this.options.context;
-    const permit = rateLimits.take(runnerId);
+    const permit = rateLimits.acquire(runnerId);
     if (permit.kind === 'refuse') {
       this.targets.noteRateLimited(runnerId, permit.retryAfterMs);
       return undefined;
     }
     const result = await this.sendTo(target);
     const isSent = result !== undefined && result.kind !== 'unreached';
-    if (permit.kind === 'admit' && !isSent) rateLimits.giveBack(runnerId);
+    if (permit.kind === 'admit' && !isSent) rateLimits.release(runnerId);
     if (result && !this.isOver) this.settle(target, result);
     return result;
   }
@@ -352,7 +352,7 @@
     const {context, decoded} = this.options;
     const {model} = decoded.request;
     if (model === undefined) return;
-    this.endWaiting ??= context.demand.noteWaiting(model);
+    this.endWaiting ??= context.demand.trackWaiting(model);
   }
 
   private noteNotWaiting(): void {
@@ -382,23 +382,23 @@
     const {runner} = target;
     this.noteNotWaiting();
     const aheadWork = context.states.workAhead(runner.runnerId, route.priority);
-    context.states.noteStart(runner.runnerId, this.service, this.started);
+    context.states.recordStart(runner.runnerId, this.service, this.started);
     const isPrompt = decoded.request.model !== undefined;
     this.turn = isPrompt
-      ? context.gate.enter(
+      ? context.gate.acquire(
           runner.runnerId,
           route.priority,
           this.options.startedMs,
         )
       : undefined;
     const waitMs = route.targetMs * TURN_WAIT_SHARE;
-    const waited = context.clock.setTimer(waitMs, () => this.turn?.goAhead());
-    const mayGo = (await this.turn?.come) ?? true;
+    const waited = context.clock.setTimer(waitMs, () => this.turn?.grantNow());
+    const mayGo = (await this.turn?.granted) ?? true;
     waited.cancel();
     const isUsable = mayGo && !this.isOver && !this.isShutOut();
     if (!isUsable || !this.targets.isStillUsable(runner)) {
-      this.turn?.giveBack();
-      context.states.noteEnd(runner.runnerId, this.started, false);
+      this.turn?.release();
+      context.states.recordEnd(runner.runnerId, this.started, false);
       return undefined;
     }
     return this.send(target, aheadWork);
@@ -412,7 +412,7 @@
     const {runner} = target;
     const nowMs = context.clock.nowMs();
     const connection = context.connections.acquire(runner.address);
-    this.log.route(target, this.counts, connection.used);
+    this.log.route(target, this.counts, connection.isReused);
     const headers = context.codec.encodeAttempt(decoded, {
       runnerId: runner.runnerId,
       remainingMs: this.deadlineMs - nowMs,
@@ -434,20 +434,20 @@
       {
         runnerId: runner.runnerId,
         onFacts: facts =>
-          context.rateLimits.noteAnswer(runner.runnerId, facts, nowMs),
+          context.rateLimits.recordAnswer(runner.runnerId, facts, nowMs),
         onFirstByte: () => {
           wasRead = true;
-          this.turn?.giveBack();
+          this.turn?.release();
           const tookMs = context.clock.nowMs() - nowMs;
-          context.states.noteRead(runner.runnerId, this.started, {
+          context.states.recordPromptRead(runner.runnerId, this.started, {
             aheadWork,
             tookMs,
           });
         },
       },
     );
-    this.turn?.giveBack();
-    context.states.noteEnd(runner.runnerId, this.started, wasRead);
+    this.turn?.release();
+    context.states.recordEnd(runner.runnerId, this.started, wasRead);
     if (result.kind === 'broken' && result.isCutOff) {
       context.crashWatch.noteCutOff(runner, this.fingerprint);
     }
@@ -468,7 +468,7 @@
       case 'delivered':
         this.suspicion.noteAnswered();
         this.notePace(runnerId);
-        context.states.noteOutcome(
+        context.states.recordOutcome(
           runnerId,
           result.isSuccess,
           result.firstByteMs,
@@ -476,12 +476,12 @@
         this.finish('answered', result.status);
         return;
       case 'unreached':
-        context.states.noteUnreachable(runnerId, this.service);
+        context.states.markUnreachable(runnerId, this.service);
         this.again(target, result);
         return;
       case 'rejected':
         if (result.fromOtherRunner) {
-          context.states.noteUnreachable(runnerId, this.service);
+          context.states.markUnreachable(runnerId, this.service);
         } else {
           this.noteRejection(target, result.status);
         }
@@ -492,7 +492,7 @@
         if (result.kind === 'failed') this.suspicion.noteAnswered();
         this.attemptsMade += 1;
         this.mayHaveRun = true;
-        context.states.noteOutcome(runnerId, false);
+        context.states.recordOutcome(runnerId, false);
         this.again(target, result);
         return;
       default:
@@ -505,7 +505,7 @@
     const {longestPauseMs} = this.relay;
     const {pauseTargetMs} = route;
     if (longestPauseMs === undefined || pauseTargetMs === undefined) return;
-    context.gate.notePace(runnerId, {longestPauseMs, pauseTargetMs});
+    context.gate.recordPace(runnerId, {longestPauseMs, pauseTargetMs});
   }
 
   private noteRejection({runner, needsAdapter}: Target, status: number): void {
@@ -513,7 +513,7 @@
     const {model, adapter} = decoded.request;
     const isAbsent = status === MISDIRECTED;
     if (isAbsent && model !== undefined) {
-      context.held.noteAbsent(
+      context.held.markAbsent(
         runner.runnerId,
         model,
         needsAdapter || adapter !== undefined ? adapter : undefined,
@@ -630,7 +630,7 @@
     // Each sending was turned away, or reached nobody.
     if (this.sendings <= this.rejections) this.charge.giveBack();
     this.noteNotWaiting();
-    this.turn?.giveBack();
+    this.turn?.release();
     this.pause.wake();
     const {context, route} = this.options;
     context.metrics.count('requests_total', {kind: route.kind, outcome});
--- a/packages/banyanfold-gateway/src/requests/targetChooser.ts
+++ b/packages/banyanfold-gateway/src/requests/targetChooser.ts
@@ -51,7 +51,7 @@
       openWork: context.states.openWork(runner.runnerId),
       hasAdapter: this.hasAdapter(runner.runnerId),
       isSuspect:
-        context.states.isSuspect(runner.runnerId) ||
+        context.states.isEjected(runner.runnerId) ||
         context.gate.isStalled(runner.runnerId),
     }));
     const chosen = chooseRunner(
--- a/packages/banyanfold-gateway/src/runners/heldCopies.ts
+++ b/packages/banyanfold-gateway/src/runners/heldCopies.ts
@@ -1,8 +1,8 @@
-import type {ToldChanges} from '../placement/copyRevisions.js';
+import type {CopyChanges} from '../placement/copyRevisions.js';
 import type {FleetView} from '../view/fleetView.js';
 
 /** What one runner holds, as the holder of orders last told. */
-interface ToldCopies {
+interface ReportedCopies {
   models: ReadonlySet<string>;
   adapters: Set<string>;
   /** No adapter can be fetched now. */
@@ -15,24 +15,24 @@
 }
 
 /** Reports are asked for twice a second and told four times a second. */
-const ABSENT_MS = 800;
+const ABSENCE_MS = 800;
 
 /** Until another holder may order, and a load is over. */
-const NO_HOLDER_MS = 4_000;
+const NO_HOLDER_DELAY_MS = 4_000;
 
 /**
  * What runners hold. The holder of orders knows first, because it gives them;
  * registrations tell the same a heartbeat later and serve while none is heard.
  */
 export class HeldCopies {
-  private readonly told = new Map<string, ToldCopies>();
+  private readonly reported = new Map<string, ReportedCopies>();
   /**
    * By runner and copy. A request looks at every runner; one key of both, built for
    * each look, took 226 of the 4,626 ms that a holder was busy within 10 s.
    */
   private readonly absentUntilMs = new Map<string, Map<string, number>>();
-  private copyAtMs = new Map<string, number>();
-  private toldAtMs = Number.NEGATIVE_INFINITY;
+  private copyExpectedMs = new Map<string, number>();
+  private reportedMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly view: FleetView,
@@ -43,46 +43,46 @@
 
   /** Since the holder last told; infinite before it did. */
   get ageMs(): number {
-    return this.nowMs() - this.toldAtMs;
+    return this.nowMs() - this.reportedMs;
   }
 
   holdsModel(runnerId: string, model: string): boolean {
     if (this.isAbsent(runnerId, model)) return false;
-    const told = this.toldOf(runnerId);
+    const told = this.reportedCopies(runnerId);
     if (told) return told.models.has(model);
-    return this.registered(runnerId, model) !== undefined;
+    return this.registeredModel(runnerId, model) !== undefined;
   }
 
   holdsAdapter(runnerId: string, model: string, adapter: string): boolean {
     const key = adapterKey(model, adapter);
     if (this.isAbsent(runnerId, key)) return false;
-    const told = this.toldOf(runnerId);
+    const told = this.reportedCopies(runnerId);
     if (told) return told.adapters.has(key);
     return (
-      this.registered(runnerId, model)?.adapters.includes(adapter) ?? false
+      this.registeredModel(runnerId, model)?.adapters.includes(adapter) ?? false
     );
   }
 
   /** Whether an adapter can be fetched to a runner now. */
   canFetch(runnerId: string): boolean {
-    return !(this.toldOf(runnerId)?.isBusy ?? false);
+    return !(this.reportedCopies(runnerId)?.isBusy ?? false);
   }
 
   /**
    * Until a copy serves; undefined when the holder has told nothing of it. While
    * no holder is heard nobody orders a copy, and callers who wait for one leave.
    */
-  copyInMs(model: string): number | undefined {
+  copyDelayMs(model: string): number | undefined {
     if (this.ageMs === Number.POSITIVE_INFINITY) return undefined;
-    if (this.ageMs > this.freshMs) return NO_HOLDER_MS;
-    const atMs = this.copyAtMs.get(model);
+    if (this.ageMs > this.freshMs) return NO_HOLDER_DELAY_MS;
+    const atMs = this.copyExpectedMs.get(model);
     if (atMs === undefined) return undefined;
     return Math.max(0, atMs - this.nowMs());
   }
 
-  tellCopiesInMs(copiesInMs: Readonly<Record<string, number>>): void {
+  setCopyDelays(copiesInMs: Readonly<Record<string, number>>): void {
     const nowMs = this.nowMs();
-    this.copyAtMs = new Map(
+    this.copyExpectedMs = new Map(
       Object.entries(copiesInMs).map(([model, inMs]) => [model, nowMs + inMs]),
     );
   }
@@ -92,12 +92,12 @@
    *
    * @param ageMs since the holder said it; a relay passes its word on later.
    */
-  tell({isWhole, runners, gone}: ToldChanges, ageMs = 0): void {
-    this.toldAtMs = this.nowMs() - ageMs;
-    if (isWhole) this.told.clear();
-    for (const runnerId of gone) this.told.delete(runnerId);
+  applyChanges({isWhole, runners, gone}: CopyChanges, ageMs = 0): void {
+    this.reportedMs = this.nowMs() - ageMs;
+    if (isWhole) this.reported.clear();
+    for (const runnerId of gone) this.reported.delete(runnerId);
     for (const {runnerId, models, adapters, isBusy} of runners) {
-      this.told.set(runnerId, {
+      this.reported.set(runnerId, {
         models: new Set(models),
         adapters: new Set(adapters),
         isBusy,
@@ -106,13 +106,13 @@
   }
 
   /** It has started again and holds what it registers, nothing of before. */
-  noteRestart(runnerId: string): void {
-    this.told.delete(runnerId);
+  handleRestart(runnerId: string): void {
+    this.reported.delete(runnerId);
   }
 
-  noteAdapter(runnerId: string, model: string, adapter: string): void {
+  addAdapter(runnerId: string, model: string, adapter: string): void {
     const key = adapterKey(model, adapter);
-    this.told.get(runnerId)?.adapters.add(key);
+    this.reported.get(runnerId)?.adapters.add(key);
     this.absentUntilMs.get(runnerId)?.delete(key);
   }
 
@@ -121,9 +121,9 @@
    * registered may go on naming it for a while, and a request would be sent to
    * the same runner again and again.
    */
-  noteAbsent(runnerId: string, model: string, adapter?: string): void {
+  markAbsent(runnerId: string, model: string, adapter?: string): void {
     const copy = adapter === undefined ? model : adapterKey(model, adapter);
-    const untilMs = this.nowMs() + ABSENT_MS;
+    const untilMs = this.nowMs() + ABSENCE_MS;
     const copies =
       this.absentUntilMs.get(runnerId) ?? new Map<string, number>();
     copies.set(copy, untilMs);
@@ -140,12 +140,12 @@
     return false;
   }
 
-  private toldOf(runnerId: string): ToldCopies | undefined {
-    if (this.nowMs() - this.toldAtMs > this.freshMs) return undefined;
-    return this.told.get(runnerId);
+  private reportedCopies(runnerId: string): ReportedCopies | undefined {
+    if (this.nowMs() - this.reportedMs > this.freshMs) return undefined;
+    return this.reported.get(runnerId);
   }
 
-  private registered(runnerId: string, model: string) {
+  private registeredModel(runnerId: string, model: string) {
     return this.view.runner(runnerId)?.models?.find(({name}) => name === model);
   }
 }
--- a/packages/banyanfold-gateway/src/runners/outcomeMeter.ts
+++ b/packages/banyanfold-gateway/src/runners/outcomeMeter.ts
@@ -9,8 +9,8 @@
 export class OutcomeMeter {
   private byRunner = new Map<string, RunnerOutcome>();
 
-  note(runnerId: string, isSuccess: boolean): void {
-    const outcome = this.of(runnerId);
+  record(runnerId: string, isSuccess: boolean): void {
+    const outcome = this.getOrCreate(runnerId);
     if (isSuccess) outcome.successes += 1;
     else outcome.failures += 1;
   }
@@ -18,7 +18,7 @@
   /** Adds what another entry has counted. */
   add(outcomes: readonly RunnerOutcome[]): void {
     for (const {runnerId, ...counts} of outcomes) {
-      const outcome = this.of(runnerId);
+      const outcome = this.getOrCreate(runnerId);
       outcome.successes += counts.successes;
       outcome.failures += counts.failures;
     }
@@ -31,7 +31,7 @@
     return taken;
   }
 
-  private of(runnerId: string): RunnerOutcome {
+  private getOrCreate(runnerId: string): RunnerOutcome {
     let outcome = this.byRunner.get(runnerId);
     if (!outcome) {
       outcome = {runnerId, successes: 0, failures: 0};
--- a/packages/banyanfold-gateway/src/runners/promptGate.ts
+++ b/packages/banyanfold-gateway/src/runners/promptGate.ts
@@ -2,11 +2,11 @@
 import {decideWindow, type StreamPace} from '@banyanfold/decisions';
 
 /** One request that waits for its prompt's turn. */
-interface Waiting {
+interface Waiter {
   priority: number;
   startedMs: number;
   /** True when it may go, false when it is over. */
-  settle(mayGo: boolean): void;
+  resolve(isGranted: boolean): void;
 }
 
 interface GateState {
@@ -14,23 +14,23 @@
   /** When each prompt that is unread there was sent. */
   unread: Set<{sentMs: number}>;
   /** By priority, within one in order of coming. */
-  waiting: Waiting[];
+  waiting: Waiter[];
 }
 
 /** A turn that was given, or that is waited for. */
-export interface PromptTurn {
+export interface PromptPermit {
   /** Settles with false when it was given back before it came. */
-  come: Promise<boolean>;
+  granted: Promise<boolean>;
   /** Takes the turn now, over the window, if it has not come. */
-  goAhead(): void;
+  grantNow(): void;
   /** The prompt is read, or will not be. Idempotent. */
-  giveBack(): void;
+  release(): void;
 }
 
 /** In ms; half of the prompts at busy runners are read within 0.1 s, few after 1 s. */
-const STALLED_MS = 800;
+const STALL_MS = 800;
 /** Before any stream has told of its pauses; a window grows and shrinks fast. */
-const FIRST_WINDOW = 4;
+const INITIAL_WINDOW = 4;
 
 /**
  * Lets an entry have only so many prompts unread at each runner; the rest wait
@@ -47,18 +47,18 @@
    *
    * @param startedMs when the request came; of two alike the older one goes first.
    */
-  enter(runnerId: string, priority: number, startedMs: number): PromptTurn {
-    const state = this.of(runnerId);
+  acquire(runnerId: string, priority: number, startedMs: number): PromptPermit {
+    const state = this.getOrCreate(runnerId);
     const turn = {sentMs: 0};
     let isOver = false;
-    let waiting: Waiting | undefined;
+    let waiting: Waiter | undefined;
     const come = new Promise<boolean>(resolve => {
       const settle = (mayGo: boolean) => {
         turn.sentMs = this.clock.nowMs();
         if (mayGo) state.unread.add(turn);
         resolve(mayGo);
       };
-      waiting = {priority, startedMs, settle};
+      waiting = {priority, startedMs, resolve: settle};
       const after = state.waiting.findIndex(
         other =>
           other.priority > priority ||
@@ -70,17 +70,17 @@
     const giveBack = () => {
       if (isOver) return;
       isOver = true;
-      if (!state.unread.delete(turn)) this.drop(state, waiting!);
-      this.letIn(state);
+      if (!state.unread.delete(turn)) this.removeWaiter(state, waiting!);
+      this.grantNext(state);
     };
     const goAhead = () => {
       const at = state.waiting.indexOf(waiting!);
       if (at < 0) return;
       state.waiting.splice(at, 1);
-      waiting!.settle(true);
+      waiting!.resolve(true);
     };
-    this.letIn(state);
-    return {come, giveBack, goAhead};
+    this.grantNext(state);
+    return {granted: come, release: giveBack, grantNow: goAhead};
   }
 
   /**
@@ -91,41 +91,41 @@
     const state = this.states.get(runnerId);
     if (!state || state.unread.size < Math.floor(state.window)) return false;
     const [oldest] = state.unread;
-    return this.clock.nowMs() - oldest!.sentMs > STALLED_MS;
+    return this.clock.nowMs() - oldest!.sentMs > STALL_MS;
   }
 
-  notePace(runnerId: string, pace: StreamPace): void {
-    const state = this.of(runnerId);
+  recordPace(runnerId: string, pace: StreamPace): void {
+    const state = this.getOrCreate(runnerId);
     state.window = decideWindow(state.window, pace);
-    this.letIn(state);
+    this.grantNext(state);
   }
 
   /** Forgets runners that are gone and that nobody waits for. */
-  keepOnly(isKnown: (runnerId: string) => boolean): void {
+  prune(isKnown: (runnerId: string) => boolean): void {
     for (const [runnerId, {unread, waiting}] of this.states) {
       const isInUse = unread.size > 0 || waiting.length > 0;
       if (!isInUse && !isKnown(runnerId)) this.states.delete(runnerId);
     }
   }
 
-  private letIn(state: GateState): void {
+  private grantNext(state: GateState): void {
     while (state.unread.size < Math.floor(state.window)) {
       const next = state.waiting.shift();
       if (!next) return;
-      next.settle(true);
+      next.resolve(true);
     }
   }
 
-  private drop(state: GateState, waiting: Waiting): void {
+  private removeWaiter(state: GateState, waiting: Waiter): void {
     const at = state.waiting.indexOf(waiting);
     if (at >= 0) state.waiting.splice(at, 1);
-    waiting.settle(false);
+    waiting.resolve(false);
   }
 
-  private of(runnerId: string): GateState {
+  private getOrCreate(runnerId: string): GateState {
     let state = this.states.get(runnerId);
     if (!state) {
-      state = {window: FIRST_WINDOW, unread: new Set(), waiting: []};
+      state = {window: INITIAL_WINDOW, unread: new Set(), waiting: []};
       this.states.set(runnerId, state);
     }
     return state;
--- a/packages/banyanfold-gateway/src/runners/rateUseMeter.ts
+++ b/packages/banyanfold-gateway/src/runners/rateUseMeter.ts
@@ -10,7 +10,7 @@
   private byRunner = new Map<string, RateUse>();
 
   /** @param used negative for what was admitted and then not sent. */
-  note(runnerId: string, asked: number, used: number): void {
+  record(runnerId: string, asked: number, used: number): void {
     const known = this.byRunner.get(runnerId);
     this.byRunner.set(runnerId, {
       runnerId,
@@ -22,7 +22,7 @@
   /** Adds what another entry has counted. */
   add(uses: readonly RateUse[]): void {
     for (const {runnerId, asked, used} of uses) {
-      this.note(runnerId, asked, used);
+      this.record(runnerId, asked, used);
     }
   }
 
--- a/packages/banyanfold-gateway/src/runners/runnerConnections.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerConnections.ts
@@ -5,7 +5,7 @@
 
 const NEVER_MS = 0;
 /** A runner's word of its idle timeout is kept to with this much to spare. */
-const IDLE_MARGIN_MS = 300;
+const KEEP_ALIVE_MARGIN_MS = 300;
 
 /** One connection to a runner; it carries one request at a time. */
 export class RunnerConnection {
@@ -13,11 +13,11 @@
   /** True once the connection has ever been established. */
   established = false;
   /** True when it was used for a request before this one. */
-  used = false;
+  isReused = false;
   closed = false;
   idleSinceMs = 0;
   private socket: Socket | undefined;
-  private lastWrite: Promise<boolean> | undefined;
+  private endProbe: Promise<boolean> | undefined;
 
   constructor(address: string, options: GatewayOptions) {
     const connect = buildConnector({timeout: options.connectTimeoutMs});
@@ -27,7 +27,7 @@
       bodyTimeout: NEVER_MS,
       keepAliveTimeout: options.runnerIdleMs,
       keepAliveMaxTimeout: options.runnerIdleMs,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       connect: (target, done) => {
         connect(target, (error, socket) => {
           if (error || !socket) {
@@ -55,10 +55,10 @@
    * refuses a write at once, while one that the other side closed in order
    * still takes it, so a blank line, which servers skip, tells them apart.
    */
-  async endedInOrder(): Promise<boolean> {
+  async endedCleanly(): Promise<boolean> {
     const {socket} = this;
     if (!socket || socket.errored !== null) return false;
-    return (await this.lastWrite) ?? false;
+    return (await this.endProbe) ?? false;
   }
 
   dispatch(
@@ -69,7 +69,7 @@
   }
 
   private probeEnd(socket: Socket): void {
-    this.lastWrite = new Promise(resolve => {
+    this.endProbe = new Promise(resolve => {
       socket.write('\r\n', error => resolve(!error));
     });
   }
@@ -101,13 +101,13 @@
       const oldest = resting[0]!;
       if (
         !oldest.closed &&
-        this.restedMs(oldest, nowMs) < this.options.reuseRestMs
+        this.idleMs(oldest, nowMs) < this.options.reuseRestMs
       ) {
         break;
       }
       resting.shift();
       if (oldest.closed) continue;
-      if (this.restedMs(oldest, nowMs) < this.options.runnerIdleMs) {
+      if (this.idleMs(oldest, nowMs) < this.options.runnerIdleMs) {
         return oldest;
       }
       oldest.destroy();
@@ -119,7 +119,7 @@
   /** Gives a connection back after a whole answer. */
   release(address: string, connection: RunnerConnection): void {
     if (connection.closed) return;
-    connection.used = true;
+    connection.isReused = true;
     connection.idleSinceMs = this.clock.nowMs();
     const resting = this.idle.get(address);
     if (resting) resting.push(connection);
@@ -132,7 +132,7 @@
     for (const [address, resting] of this.idle) {
       const kept = resting.filter(connection => {
         const isOld =
-          this.restedMs(connection, nowMs) >= this.options.runnerIdleMs;
+          this.idleMs(connection, nowMs) >= this.options.runnerIdleMs;
         if (isOld) connection.destroy();
         return !connection.closed;
       });
@@ -141,7 +141,7 @@
     }
   }
 
-  private restedMs(connection: RunnerConnection, nowMs: number): number {
+  private idleMs(connection: RunnerConnection, nowMs: number): number {
     return nowMs - connection.idleSinceMs;
   }
 }
--- a/packages/banyanfold-gateway/src/runners/runnerStates.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerStates.ts
@@ -3,16 +3,16 @@
 import type {GatewayOptions} from '../options.js';
 import type {Work} from '../requests/workOf.js';
 import {OutcomeMeter} from './outcomeMeter.js';
-import {UrgencyMix} from './urgencyMix.js';
+import {PriorityMix} from './priorityMix.js';
 
 /** Outcomes older than this say nothing of a runner's state now. */
 const OUTCOME_WINDOW_MS = 4_000;
 /** Engines of today read 38 to 41 thousand prompt tokens a second. */
 const ASSUMED_WORK_PER_SECOND = 40;
 /** With less ahead a first byte tells of the prompt, not of the queue. */
-const MIN_PACE_WORK = 20;
+const MIN_RATE_SAMPLE_WORK = 20;
 /** Of one first byte in the pace; some ten follow a change of the queue. */
-const PACE_WEIGHT = 0.2;
+const RATE_SAMPLE_WEIGHT = 0.2;
 const MS_PER_SECOND = 1000;
 /** A fault of a runner lasts some seconds; then it is tried again. */
 const EJECTION_MS = 2_500;
@@ -62,7 +62,7 @@
 /** What this process has seen of each runner's load and health. */
 export class RunnerStates {
   private readonly states = new Map<string, RunnerState>();
-  private readonly urgency = new UrgencyMix();
+  private readonly urgency = new PriorityMix();
   /** What runners answered here, for the holder to judge them by. */
   readonly outcomes = new OutcomeMeter();
 
@@ -87,7 +87,7 @@
   }
 
   /** It stood out by its failures; taken only where all others did too. */
-  isSuspect(runnerId: string): boolean {
+  isEjected(runnerId: string): boolean {
     const ejectedUntilMs = this.states.get(runnerId)?.ejectedUntilMs ?? 0;
     return ejectedUntilMs > this.clock.nowMs();
   }
@@ -117,14 +117,14 @@
     return inUse;
   }
 
-  noteStart(runnerId: string, service: string, started: StartedWork): void {
+  recordStart(runnerId: string, service: string, started: StartedWork): void {
     const {priority, work} = started;
-    if (priority !== undefined) this.urgency.note(priority, work.read);
-    const state = this.of(runnerId, service);
+    if (priority !== undefined) this.urgency.record(priority, work.read);
+    const state = this.getOrCreate(runnerId, service);
     state.openWork += started.work.read + started.work.generate;
     state.openRequests += 1;
-    count(state.adaptersInUse, started.adapter, 1);
-    count(state.modelsInUse, started.model, 1);
+    adjustCount(state.adaptersInUse, started.adapter, 1);
+    adjustCount(state.modelsInUse, started.model, 1);
   }
 
   /**
@@ -132,7 +132,9 @@
    * no priorities; what arrives here is taken to be mixed like what they send.
    */
   workAhead(runnerId: string, priority: number): number {
-    return this.openWork(runnerId) * this.urgency.shareUpTo(priority);
+    return (
+      this.openWork(runnerId) * this.urgency.shareAtLeastAsUrgent(priority)
+    );
   }
 
   /** How much work a second a runner got through lately. */
@@ -145,7 +147,7 @@
    *
    * @param aheadWork what was open there when it was sent.
    */
-  noteRead(
+  recordPromptRead(
     runnerId: string,
     {work}: StartedWork,
     {aheadWork, tookMs}: {aheadWork: number; tookMs: number},
@@ -153,26 +155,27 @@
     const state = this.states.get(runnerId);
     if (!state) return;
     state.openWork = Math.max(0, state.openWork - work.read);
-    if (aheadWork < MIN_PACE_WORK) return;
-    const pace =
+    if (aheadWork < MIN_RATE_SAMPLE_WORK) return;
+    const sampledRate =
       ((aheadWork + work.read) * MS_PER_SECOND) / Math.max(tookMs, 1);
-    state.workPerSecond += (pace - state.workPerSecond) * PACE_WEIGHT;
+    state.workPerSecond +=
+      (sampledRate - state.workPerSecond) * RATE_SAMPLE_WEIGHT;
   }
 
   /** @param wasRead its first byte had come. */
-  noteEnd(runnerId: string, ended: StartedWork, wasRead: boolean): void {
+  recordEnd(runnerId: string, ended: StartedWork, wasRead: boolean): void {
     const state = this.states.get(runnerId);
     if (!state) return;
     const {read, generate} = ended.work;
     const left = wasRead ? generate : read + generate;
     state.openWork = Math.max(0, state.openWork - left);
     state.openRequests -= 1;
-    count(state.adaptersInUse, ended.adapter, -1);
-    count(state.modelsInUse, ended.model, -1);
+    adjustCount(state.adaptersInUse, ended.adapter, -1);
+    adjustCount(state.modelsInUse, ended.model, -1);
   }
 
   /** What the other entries have open, by runner. */
-  notePeersWork(
+  setPeersWork(
     work: Readonly<Record<string, number>>,
     requests: Readonly<Record<string, number>> = {},
   ): void {
@@ -181,7 +184,7 @@
       state.peersRequests = requests[runnerId] ?? 0;
     }
     for (const [runnerId, peersWork] of Object.entries(work)) {
-      const state = this.of(runnerId, '');
+      const state = this.getOrCreate(runnerId, '');
       state.peersWork = peersWork;
       state.peersRequests = requests[runnerId] ?? 0;
     }
@@ -194,8 +197,8 @@
   }
 
   /** A connection couldn't be established; the pause doubles each time. */
-  noteUnreachable(runnerId: string, service: string): void {
-    const state = this.of(runnerId, service);
+  markUnreachable(runnerId: string, service: string): void {
+    const state = this.getOrCreate(runnerId, service);
     const {unreachablePauseMs, unreachablePauseCapMs} = this.options;
     state.pauseMs = Math.min(
       Math.max(state.pauseMs * 2, unreachablePauseMs),
@@ -208,10 +211,10 @@
     });
   }
 
-  noteOutcome(runnerId: string, isSuccess: boolean, firstTokenMs = 0): void {
+  recordOutcome(runnerId: string, isSuccess: boolean, firstTokenMs = 0): void {
     const state = this.states.get(runnerId);
     if (!state) return;
-    this.outcomes.note(runnerId, isSuccess);
+    this.outcomes.record(runnerId, isSuccess);
     const atMs = this.clock.nowMs();
     state.outcomes.push({atMs, isSuccess, firstTokenMs});
     if (!isSuccess) return;
@@ -220,7 +223,7 @@
   }
 
   /** It has started again: what it was set aside for is over. */
-  noteRestart(runnerId: string): void {
+  handleRestart(runnerId: string): void {
     const state = this.states.get(runnerId);
     if (!state) return;
     state.pauseMs = 0;
@@ -234,16 +237,16 @@
    *
    * @param ageMs since it told.
    */
-  noteEjected(forMs: Readonly<Record<string, number>>, ageMs: number): void {
+  applyEjections(forMs: Readonly<Record<string, number>>, ageMs: number): void {
     const toldAtMs = this.clock.nowMs() - ageMs;
     for (const [runnerId, leftMs] of Object.entries(forMs)) {
-      const state = this.of(runnerId, '');
+      const state = this.getOrCreate(runnerId, '');
       state.ejectedUntilMs = Math.max(state.ejectedUntilMs, toldAtMs + leftMs);
     }
   }
 
   /** Compares runners of a service and sets aside those that stand out. */
-  judge(): void {
+  ejectOutliers(): void {
     const nowMs = this.clock.nowMs();
     const outcomes: RunnerOutcomes[] = [];
     for (const [vmId, state] of this.states) {
@@ -269,7 +272,7 @@
   }
 
   /** Forgets runners that are gone and carry nothing. */
-  keepOnly(isKnown: (runnerId: string) => boolean): void {
+  prune(isKnown: (runnerId: string) => boolean): void {
     for (const [runnerId, {openRequests}] of this.states) {
       if (openRequests === 0 && !isKnown(runnerId)) {
         this.states.delete(runnerId);
@@ -277,7 +280,7 @@
     }
   }
 
-  private of(runnerId: string, service: string): RunnerState {
+  private getOrCreate(runnerId: string, service: string): RunnerState {
     let state = this.states.get(runnerId);
     if (!state) {
       state = {
@@ -301,7 +304,7 @@
   }
 }
 
-function count(
+function adjustCount(
   counts: Map<string, number>,
   key: string | undefined,
   change: number,
--- a/packages/banyanfold-gateway/src/view/fleetView.ts
+++ b/packages/banyanfold-gateway/src/view/fleetView.ts
@@ -9,7 +9,7 @@
 import {RouteTable} from './routeTable.js';
 
 /** How long the last heartbeat number of a removed runner is kept. */
-const REMOVED_MEMORY_MS = 600_000;
+const REMOVAL_RETENTION_MS = 600_000;
 
 /** What has changed; a listener of one kind need not look at all runners. */
 export type ViewChange =
@@ -23,7 +23,7 @@
 type Heartbeat = Pick<RunnerRegistration, 'bornMs' | 'heartbeatNumber'>;
 
 interface RemovedRunner extends Heartbeat {
-  atMs: number;
+  removedMs: number;
 }
 
 /** What this process believes of the configuration and the runners. */
@@ -36,34 +36,34 @@
   private readonly removed = new Map<string, RemovedRunner>();
   private readonly listeners = new Set<ChangeListener>();
   private readonly restartListeners = new Set<(runnerId: string) => void>();
-  private caughtUp = false;
+  private isCaughtUp = false;
   /** Of all routes; 0 is the most urgent, and before one is known. */
-  leastUrgent = 0;
+  lowestPriority = 0;
   /** When the version in force was last known to be the newest. */
-  private configAtMs: number | undefined;
+  private configConfirmedMs: number | undefined;
   /** When the runners were last heard of. */
-  runnersAtMs = 0;
+  runnersReadMs = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {}
 
-  get current(): FleetConfig | undefined {
+  get currentConfig(): FleetConfig | undefined {
     return this.config;
   }
 
   /** Since the version in force was last known to be the newest, in ms. */
   get configAgeMs(): number | undefined {
-    if (this.configAtMs === undefined) return undefined;
-    return this.clock.nowMs() - this.configAtMs;
+    if (this.configConfirmedMs === undefined) return undefined;
+    return this.clock.nowMs() - this.configConfirmedMs;
   }
 
   get isReady(): boolean {
-    return this.config !== undefined && this.caughtUp;
+    return this.config !== undefined && this.isCaughtUp;
   }
 
-  route(host: string, path: string): RoutePolicy | undefined {
+  findRoute(host: string, path: string): RoutePolicy | undefined {
     return this.routeTable.find(host, path);
   }
 
@@ -101,13 +101,13 @@
     const priorities = [...config.routes, ...(organisations ?? [])].map(
       ({priority}) => priority ?? 0,
     );
-    this.leastUrgent = Math.max(0, ...priorities);
+    this.lowestPriority = Math.max(0, ...priorities);
     this.logger.info('config', {
       version: config.version,
       routes: config.routes.length,
       organisations: organisations?.length,
     });
-    this.changed({kind: 'config'});
+    this.notifyListeners({kind: 'config'});
   }
 
   /** Called when a runner has started again under its id. */
@@ -124,18 +124,18 @@
    */
   onRegistration(registration: RunnerRegistration): void {
     const {runnerId, bornMs, heartbeatNumber} = registration;
-    this.runnersAtMs = this.clock.nowMs();
+    this.runnersReadMs = this.clock.nowMs();
     const known = this.runners.get(runnerId);
     const last = known ?? this.removed.get(runnerId);
-    if (last && !isLater(registration, last)) return;
-    const hasRestarted = last !== undefined && bornMs !== last.bornMs;
+    if (last && !isNewer(registration, last)) return;
+    const isRestart = last !== undefined && bornMs !== last.bornMs;
     // What is leaving never comes back within the same life of a runner.
-    const wasLeaving = !hasRestarted && (known?.leaving ?? false);
+    const wasLeaving = !isRestart && (known?.leaving ?? false);
     const leaving = registration.leaving || wasLeaving;
     this.runners.set(runnerId, {...registration, leaving});
     this.removed.delete(runnerId);
-    if (hasRestarted) for (const told of this.restartListeners) told(runnerId);
-    if (!known || hasRestarted || known.leaving !== leaving) {
+    if (isRestart) for (const notify of this.restartListeners) notify(runnerId);
+    if (!known || isRestart || known.leaving !== leaving) {
       this.logger.info('runner', {
         runner: runnerId,
         bornMs,
@@ -146,33 +146,33 @@
         heartbeat: heartbeatNumber,
       });
     }
-    this.changed({kind: 'runner', runnerId});
+    this.notifyListeners({kind: 'runner', runnerId});
   }
 
   onRemoval(runnerId: string): void {
     const nowMs = this.clock.nowMs();
-    this.runnersAtMs = nowMs;
+    this.runnersReadMs = nowMs;
     const known = this.runners.get(runnerId);
     if (!known) return;
     this.runners.delete(runnerId);
-    this.forgetOldRemovals(nowMs);
+    this.pruneRemovals(nowMs);
     const {bornMs, heartbeatNumber} = known;
-    this.removed.set(runnerId, {bornMs, heartbeatNumber, atMs: nowMs});
+    this.removed.set(runnerId, {bornMs, heartbeatNumber, removedMs: nowMs});
     this.logger.info('runner-removed', {runner: runnerId});
-    this.changed({kind: 'runner-removed', runnerId});
+    this.notifyListeners({kind: 'runner-removed', runnerId});
   }
 
   onCaughtUp(): void {
-    if (this.caughtUp) return;
-    this.caughtUp = true;
+    if (this.isCaughtUp) return;
+    this.isCaughtUp = true;
     this.logger.info('runners-known', {runners: this.runners.size});
-    this.changed({kind: 'caught-up'});
+    this.notifyListeners({kind: 'caught-up'});
   }
 
   /** The configuration in force was the newest one, now or at that time, in ms. */
   onConfigCurrent(atMs = this.clock.nowMs()): void {
     if (!this.config) return;
-    this.configAtMs = Math.max(this.configAtMs ?? atMs, atMs);
+    this.configConfirmedMs = Math.max(this.configConfirmedMs ?? atMs, atMs);
   }
 
   /** The version in force was known to be the newest within that time. */
@@ -180,18 +180,18 @@
     return this.configAgeMs !== undefined && this.configAgeMs <= withinMs;
   }
 
-  private changed(change: ViewChange): void {
+  private notifyListeners(change: ViewChange): void {
     for (const listener of this.listeners) listener(change);
   }
 
-  private forgetOldRemovals(nowMs: number): void {
-    for (const [runnerId, {atMs}] of this.removed) {
-      if (nowMs - atMs > REMOVED_MEMORY_MS) this.removed.delete(runnerId);
+  private pruneRemovals(nowMs: number): void {
+    for (const [runnerId, {removedMs: atMs}] of this.removed) {
+      if (nowMs - atMs > REMOVAL_RETENTION_MS) this.removed.delete(runnerId);
     }
   }
 }
 
-function isLater(a: Heartbeat, b: Heartbeat): boolean {
+function isNewer(a: Heartbeat, b: Heartbeat): boolean {
   if (a.bornMs !== b.bornMs) return a.bornMs > b.bornMs;
   return a.heartbeatNumber > b.heartbeatNumber;
 }
