--- a/packages/banyanfold-gateway/src/placement/copyRevisions.ts
+++ b/packages/banyanfold-gateway/src/placement/copyRevisions.ts
@@ -1,14 +1,14 @@
 import type {ToldRunner} from '../peers/peerContract.js';
 
-/** Up to where an entry has heard the changes of one holder. */
+/** The last revision of one holder that an entry has received. */
 export interface KnownRevision {
-  /** Tells the numbers of one holder from those of another. */
+  /** Identifies the holder process that assigned the revision numbers. */
   epoch: string;
   revision: number;
 }
 
 export interface CopyChanges extends KnownRevision {
-  /** All runners are told, those left out are gone. */
+  /** Whether `runners` is the full list, so that missing runners are gone. */
   isWhole: boolean;
   runners: ToldRunner[];
   gone: string[];
@@ -17,18 +17,18 @@
 interface RecordedChange {
   revision: number;
   serialized: string;
-  /** Undefined for a runner that is gone. */
+  /** Undefined for a removed runner. */
   runner?: ToldRunner;
 }
 
-/** So many changes back an entry is told what it missed, else all. */
+/** An entry that is further behind than this gets the full list. */
 const RETAINED_REVISIONS = 1_000;
 
 /**
- * Numbers the changes of what runners hold, so that an entry is told those that
- * it has not heard, not all of them four times a second. With 36 runners and 28
- * entries an order took 160 to 200 ms in the median while all was told, and 20 to
- * 80 ms since, on the same day and holder.
+ * Numbers the changes of what runners hold, so that an entry receives only the
+ * changes that it has missed, not the full list four times a second. With 36
+ * runners and 28 entries, an order took 160 to 200 ms in the median with full
+ * lists and 20 to 80 ms with changes only, on the same day and holder.
  *
  * @example
  * revisions.update(runners);
@@ -40,7 +40,7 @@
 
   constructor(private readonly epoch: string) {}
 
-  /** Takes in what all runners hold now. */
+  /** Records the differences to what all runners held before. */
   update(runners: readonly ToldRunner[]): void {
     const present = new Set(runners.map(({runnerId}) => runnerId));
     for (const runner of runners) {
--- a/packages/banyanfold-gateway/src/placement/copyTimes.ts
+++ b/packages/banyanfold-gateway/src/placement/copyTimes.ts
@@ -1,16 +1,23 @@
 import type {ModelSpec} from '../types.js';
 import type {RunnerController} from './runnerController.js';
 
-/** From the end of a load until entries hear of it: a report and an exchange. */
+/**
+ * Time from the end of a load until entries know of it: a report and an
+ * exchange.
+ */
 const PROPAGATION_MS = 250;
-/** Until there is room: idle copies go in 0.3 s, runs under way take seconds. */
+/**
+ * Time to free memory: idle copies are evicted in 0.3 s, requests in progress
+ * take seconds.
+ */
 const MAKE_ROOM_MS = 1_200;
 const MAKE_ROOM_STARTED_MS = 600;
 
 /**
- * Until a model serves somewhere; one that nobody loads yet needs room first.
+ * Estimates the time until a model serves somewhere. A model that no runner is
+ * loading yet needs memory first.
  *
- * @example copyInMs(spec, controllers) // 1970: 520 from disk, room, and to tell
+ * @example estimateCopyDelayMs(spec, controllers) // 1970: 520 from disk, then freeing memory and propagation
  */
 export function estimateCopyDelayMs(
   spec: ModelSpec,
@@ -19,8 +26,7 @@
   const loading = controllers.filter(each => each.loadingModel === spec.name);
   if (loading.length > 0) {
     return (
-      Math.min(...loading.map(({remainingMs: leftMs}) => leftMs)) +
-      PROPAGATION_MS
+      Math.min(...loading.map(({remainingMs}) => remainingMs)) + PROPAGATION_MS
     );
   }
   const loadMs = Math.min(
@@ -37,7 +43,9 @@
   );
 }
 
-/** How long a load there takes, from where the weights are. */
+/**
+ * Estimates the time of a load on a runner, depending on where the weights are.
+ */
 export function estimateLoadMs(
   spec: ModelSpec | undefined,
   {inMemory, onDisk}: RunnerController,
--- a/packages/banyanfold-gateway/src/placement/demandMeter.ts
+++ b/packages/banyanfold-gateway/src/placement/demandMeter.ts
@@ -1,12 +1,12 @@
-/** What was asked of one model since the last exchange. */
+/** Demand for one model since the last exchange. */
 export interface ModelDemand {
   model: string;
-  /** Requests, each counted by its urgency. */
+  /** Number of requests, weighted by urgency. */
   arrivals: number;
-  /** Tokens that the arrivals have to read and to generate, at most. */
+  /** Upper bounds on the tokens to read and to generate for the arrivals. */
   promptTokens: number;
   outputTokens: number;
-  /** Adapters that were asked for, with how often. */
+  /** Number of requests by adapter. */
   adapters: Record<string, number>;
 }
 
@@ -16,14 +16,14 @@
   adapter?: string;
   promptTokens: number;
   maxOutputTokens: number;
-  /** What it counts for placement; 1 for the least urgent. */
+  /** Weight in placement decisions; 1 for the least urgent. */
   urgency: number;
 }
 
 /** Counts demand by model between two exchanges with the holder. */
 export class DemandMeter {
   private byModel = new Map<string, ModelDemand>();
-  private readonly waiting = new Map<string, number>();
+  private readonly waitingByModel = new Map<string, number>();
   /** Called when a request begins to wait for a copy. */
   onWaiting: () => void = () => {};
 
@@ -37,39 +37,42 @@
     demand.adapters[adapter] = (demand.adapters[adapter] ?? 0) + 1;
   }
 
-  /** A request waits for a copy; call what is returned when it no longer does. */
+  /**
+   * Counts a request that waits for a copy. Call the returned function when it
+   * no longer waits.
+   */
   trackWaiting(model: string): () => void {
-    this.waiting.set(model, (this.waiting.get(model) ?? 0) + 1);
+    this.waitingByModel.set(model, (this.waitingByModel.get(model) ?? 0) + 1);
     this.onWaiting();
     let isDone = false;
     return () => {
       if (isDone) return;
       isDone = true;
-      const left = (this.waiting.get(model) ?? 1) - 1;
-      if (left > 0) this.waiting.set(model, left);
-      else this.waiting.delete(model);
+      const remaining = (this.waitingByModel.get(model) ?? 1) - 1;
+      if (remaining > 0) this.waitingByModel.set(model, remaining);
+      else this.waitingByModel.delete(model);
     };
   }
 
-  /** Requests that wait now for a copy, by model. */
+  /** Number of requests that currently wait for a copy, by model. */
   waitingCounts(): Record<string, number> {
-    return Object.fromEntries(this.waiting);
+    return Object.fromEntries(this.waitingByModel);
   }
 
-  /** Adds what another entry has counted. */
+  /** Adds the counts of another entry. */
   add(demand: readonly ModelDemand[]): void {
-    for (const asked of demand) {
-      const own = this.getOrCreate(asked.model);
-      own.arrivals += asked.arrivals;
-      own.promptTokens += asked.promptTokens;
-      own.outputTokens += asked.outputTokens;
-      for (const [adapter, times] of Object.entries(asked.adapters)) {
-        own.adapters[adapter] = (own.adapters[adapter] ?? 0) + times;
+    for (const other of demand) {
+      const total = this.getOrCreate(other.model);
+      total.arrivals += other.arrivals;
+      total.promptTokens += other.promptTokens;
+      total.outputTokens += other.outputTokens;
+      for (const [adapter, count] of Object.entries(other.adapters)) {
+        total.adapters[adapter] = (total.adapters[adapter] ?? 0) + count;
       }
     }
   }
 
-  /** Takes what was counted, and begins anew. */
+  /** Returns the counts and resets them. */
   take(): ModelDemand[] {
     const taken = [...this.byModel.values()];
     this.byModel = new Map();
--- a/packages/banyanfold-gateway/src/placement/dueReports.ts
+++ b/packages/banyanfold-gateway/src/placement/dueReports.ts
@@ -1,37 +1,41 @@
-/** One runner, as far as it matters when its report is asked for. */
+/** State of one runner that decides when its next report is requested. */
 export interface ReportSchedule<K> {
   key: K;
-  /** When it was last asked; undefined before. */
+  /** When the last report was requested; undefined before the first one. */
   lastRequestedMs?: number;
-  /** An order there is to be over. */
+  /** Whether an order on the runner should be complete by now. */
   isAwaited: boolean;
-  /** Nothing is known of the runner yet. */
+  /** Whether no report of the runner has arrived yet. */
   isUnknown?: boolean;
 }
 
 export interface DueReportsOptions {
-  /** Time between two calls. */
+  /** Time between two calls of `dueReports`. */
   tickMs: number;
-  /** Interval at one runner, and at one that is awaited or unknown. */
+  /**
+   * Minimum time between two reports of one runner, and of one that is awaited
+   * or unknown.
+   */
   intervalMs: number;
   awaitedIntervalMs: number;
-  /** Reports a second of runners that are known and not awaited. */
+  /** Reports per second of runners that are known and not awaited. */
   perSecond: number;
-  /** Runners that nothing is known of which may be asked now. */
+  /** Number of unknown runners that may be queried now. */
   unknownQuota?: number;
 }
 
 const MS_PER_SECOND = 1000;
 
 /**
- * The runners to ask for a report now: all whose report is awaited, and of those
- * that are unknown, and of the others, the longest unasked, spread over time.
+ * Selects the runners whose report is requested now: all that are awaited, and
+ * of the unknown runners and of the others those that have waited longest,
+ * spread over time.
  *
- * Answers the load of many runners on a small VM: asked all at once twice a
- * second, 26 runners were answered in 0.35 s in the median under load, and whatever
- * else came waited with them.
+ * This limits the load of many runners on a small VM: when all were queried at
+ * once twice a second, 26 runners were answered in 0.35 s in the median under
+ * load, and all other work was delayed.
  *
- * @example dueReports(states, clock.nowMs(), options).forEach(ask)
+ * @example dueReports(states, clock.nowMs(), options).forEach(requestReport)
  */
 export function dueReports<K>(
   states: ReadonlyArray<ReportSchedule<K>>,
@@ -39,9 +43,11 @@
   options: DueReportsOptions,
 ): K[] {
   const {tickMs, intervalMs, awaitedIntervalMs, perSecond} = options;
-  const {unknownQuota: unknownLeft = Number.POSITIVE_INFINITY} = options;
-  const elapsedMs = ({lastRequestedMs: askedMs}: ReportSchedule<K>) =>
-    askedMs === undefined ? Number.POSITIVE_INFINITY : nowMs - askedMs;
+  const {unknownQuota = Number.POSITIVE_INFINITY} = options;
+  const elapsedMs = ({lastRequestedMs}: ReportSchedule<K>) =>
+    lastRequestedMs === undefined
+      ? Number.POSITIVE_INFINITY
+      : nowMs - lastRequestedMs;
   const byLongestWait = (a: ReportSchedule<K>, b: ReportSchedule<K>) =>
     elapsedMs(b) - elapsedMs(a);
   const awaited = states.filter(
@@ -59,7 +65,7 @@
   const count = Math.max(1, Math.round((perSecond * tickMs) / MS_PER_SECOND));
   return [
     ...awaited,
-    ...unknown.slice(0, unknownLeft),
+    ...unknown.slice(0, unknownQuota),
     ...others.slice(0, count),
   ].map(({key}) => key);
 }
--- a/packages/banyanfold-gateway/src/placement/entryLoads.ts
+++ b/packages/banyanfold-gateway/src/placement/entryLoads.ts
@@ -1,17 +1,19 @@
 import type {RelayCandidate} from '@banyanfold/decisions';
 
-/** An entry that was not heard of for this long no longer counts, in ms. */
+/** An entry that has not reported for this long no longer counts, in ms. */
 const ENTRY_EXPIRY_MS = 2_000;
-/** Work is told to a tenth: fewer digits, and nobody decides by less. */
+/**
+ * Work is rounded to a tenth, which shortens messages and affects no decision.
+ */
 const ROUNDING_STEPS = 10;
 
-/** What an entry, and those it relays for, have open at the runners. */
+/** Open work of an entry, and of the entries that it relays for. */
 export interface EntryLoad {
-  /** The entry itself, and those that it relays for. */
+  /** The entry itself, and the entries that it relays for. */
   members: readonly RelayCandidate[];
   openWork: Readonly<Record<string, number>>;
   adaptersInUse: Readonly<Record<string, readonly string[]>>;
-  /** Requests under way, by runner and model. */
+  /** Requests in progress, by runner and model. */
   modelsInUse: Readonly<Record<string, Readonly<Record<string, number>>>>;
   /** Requests that wait for a copy, by model. */
   waiting: Readonly<Record<string, number>>;
@@ -21,15 +23,15 @@
   receivedMs: number;
 }
 
-/** What each entry that was heard of lately has open, and their sums. */
+/** Loads of the entries that reported recently, and their sums. */
 export class EntryLoads {
   private readonly entries = new Map<string, ReceivedLoad>();
 
   constructor(private readonly expiryMs = ENTRY_EXPIRY_MS) {}
 
   /**
-   * An entry that speaks through a relay no longer counts by itself, or its work
-   * would count twice until what it told before is too old.
+   * Records the load of an entry. Its members no longer count on their own,
+   * because their work would count twice until their previous reports expire.
    */
   record(entry: string, load: EntryLoad, nowMs: number): void {
     for (const {address} of load.members) {
@@ -38,28 +40,28 @@
     this.entries.set(entry, {...load, receivedMs: nowMs});
   }
 
-  /** Requests of all entries that wait for a copy of a model. */
+  /** Number of requests at all entries that wait for a copy of a model. */
   waitingRequests(model: string, nowMs: number): number {
     let total = 0;
     for (const {waiting} of this.recent(nowMs)) total += waiting[model] ?? 0;
     return total;
   }
 
-  /** Entries heard of lately; one at least. */
+  /** Number of entries that reported recently, at least 1. */
   count(nowMs: number): number {
     let count = 0;
     for (const {members} of this.recent(nowMs)) count += members.length;
     return Math.max(1, count);
   }
 
-  /** Entries heard of lately, the last heard first. */
+  /** Entries that reported recently, the most recent first. */
   members(nowMs: number): RelayCandidate[] {
     return [...this.recent(nowMs)]
       .sort((a, b) => b.receivedMs - a.receivedMs)
       .flatMap(({members}) => members);
   }
 
-  /** Open work of all but one entry, by runner. */
+  /** Open work of all entries but one, by runner. */
   openWorkExcept(entry: string, nowMs: number): Record<string, number> {
     const total: Record<string, number> = {};
     for (const {openWork} of this.recent(nowMs, entry)) {
@@ -71,7 +73,7 @@
     return total;
   }
 
-  /** Requests that all but one entry have open, by runner. */
+  /** Open requests of all entries but one, by runner. */
   openRequestsExcept(entry: string, nowMs: number): Record<string, number> {
     const total: Record<string, number> = {};
     for (const {modelsInUse} of this.recent(nowMs, entry)) {
@@ -84,7 +86,9 @@
     return total;
   }
 
-  /** Whether an entry has a request under way there that uses the adapter. */
+  /**
+   * Whether a request in progress at any entry uses the adapter on the runner.
+   */
   isAdapterInUse(runnerId: string, adapter: string, nowMs: number): boolean {
     for (const {adaptersInUse} of this.recent(nowMs)) {
       if (adaptersInUse[runnerId]?.includes(adapter)) return true;
@@ -92,7 +96,7 @@
     return false;
   }
 
-  /** Requests of all entries under way at a runner, by model. */
+  /** Requests of all entries in progress on a runner, by model. */
   modelsInUse(runnerId: string, nowMs: number): Record<string, number> {
     const total: Record<string, number> = {};
     for (const {modelsInUse} of this.recent(nowMs)) {
@@ -102,7 +106,7 @@
   }
 
   /**
-   * What all entries have open, in one message.
+   * Sums the loads of all entries into one.
    *
    * @example loads.sum(clock.nowMs()).openWork // {'i-7f3a': 12.5}
    */
@@ -142,9 +146,9 @@
 
 function addCounts(
   total: Record<string, number>,
-  more: Readonly<Record<string, number>>,
+  counts: Readonly<Record<string, number>>,
 ): void {
-  for (const [key, value] of Object.entries(more)) {
+  for (const [key, value] of Object.entries(counts)) {
     total[key] = (total[key] ?? 0) + value;
   }
 }
--- a/packages/banyanfold-gateway/src/placement/fleetDemand.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetDemand.ts
@@ -1,10 +1,16 @@
 import {workOf} from '../requests/workOf.js';
 import type {ModelDemand} from './demandMeter.js';
 
-/** Demand moves to other models within seconds; so must its average. */
+/**
+ * Demand shifts to other models within seconds, so the average must follow as
+ * fast.
+ */
 const SMOOTHING_MS = 1_500;
 const MS_PER_SECOND = 1000;
-/** Demand that left for some seconds is still in this average. */
+/**
+ * Long enough that this average still contains demand that ceased some seconds
+ * ago.
+ */
 const LONG_SMOOTHING_MS = 15_000;
 
 interface SmoothedDemand {
@@ -15,14 +21,14 @@
   lastRequestedMs: number;
 }
 
-/** Demand over all entries, as the holder of orders has heard it. */
+/** Demand over all entries, as reported to the holder of the lease. */
 export class FleetDemand {
   private readonly models = new Map<string, SmoothedDemand>();
   private firstSeenMs = Number.POSITIVE_INFINITY;
 
-  /** Takes in what was asked of an entry since it told before. */
+  /** Adds the demand that an entry has counted since its previous report. */
   record(demand: readonly ModelDemand[], nowMs: number): void {
-    for (const asked of demand) this.add(asked, nowMs);
+    for (const modelDemand of demand) this.add(modelDemand, nowMs);
   }
 
   workPerSecond(model: string, nowMs: number): number {
@@ -37,12 +43,12 @@
     return smoothed.requestsPerSecond * decay(nowMs - smoothed.updatedMs);
   }
 
-  /** Since a request was first heard of; negative before. */
+  /** Time since the first request was reported; negative before. */
   observedForMs(nowMs: number): number {
     return nowMs - this.firstSeenMs;
   }
 
-  /** Requests a second over a longer time. */
+  /** Requests per second, averaged over a longer time. */
   usualRequestsPerSecond(model: string, nowMs: number): number {
     const smoothed = this.models.get(model);
     if (!smoothed) return 0;
@@ -57,8 +63,8 @@
       : Number.MAX_SAFE_INTEGER;
   }
 
-  private add(asked: ModelDemand, nowMs: number): void {
-    const {arrivals, promptTokens, outputTokens} = asked;
+  private add(modelDemand: ModelDemand, nowMs: number): void {
+    const {arrivals, promptTokens, outputTokens} = modelDemand;
     const {read, generate} = workOf({
       requests: arrivals,
       promptTokens,
@@ -66,15 +72,21 @@
     });
     const work = read + generate;
     if (arrivals > 0) this.firstSeenMs = Math.min(this.firstSeenMs, nowMs);
-    const before = this.workPerSecond(asked.model, nowMs);
-    const usualBefore = this.usualRequestsPerSecond(asked.model, nowMs);
-    const requestsBefore = this.requestsPerSecond(asked.model, nowMs);
-    this.models.set(asked.model, {
-      workPerSecond: before + (work * MS_PER_SECOND) / SMOOTHING_MS,
+    const previousWorkRate = this.workPerSecond(modelDemand.model, nowMs);
+    const previousUsualRate = this.usualRequestsPerSecond(
+      modelDemand.model,
+      nowMs,
+    );
+    const previousRequestRate = this.requestsPerSecond(
+      modelDemand.model,
+      nowMs,
+    );
+    this.models.set(modelDemand.model, {
+      workPerSecond: previousWorkRate + (work * MS_PER_SECOND) / SMOOTHING_MS,
       requestsPerSecond:
-        requestsBefore + (arrivals * MS_PER_SECOND) / SMOOTHING_MS,
+        previousRequestRate + (arrivals * MS_PER_SECOND) / SMOOTHING_MS,
       usualRequestsPerSecond:
-        usualBefore + (arrivals * MS_PER_SECOND) / LONG_SMOOTHING_MS,
+        previousUsualRate + (arrivals * MS_PER_SECOND) / LONG_SMOOTHING_MS,
       updatedMs: nowMs,
       lastRequestedMs: nowMs,
     });
--- a/packages/banyanfold-gateway/src/placement/fleetOutcomes.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetOutcomes.ts
@@ -7,16 +7,16 @@
 import type {RunnerOutcome} from '../runners/outcomeMeter.js';
 import type {FleetView} from '../view/fleetView.js';
 
-/** Outcomes older than this say nothing of a runner's state now. */
+/** Older outcomes are not evidence of a runner's current state. */
 const WINDOW_MS = 3_000;
 const UPDATE_INTERVAL_MS = 250;
-/** A fault of a runner lasts some seconds; then it is tried again. */
+/** Faults of a runner last some seconds; after this time it is tried again. */
 const EJECTION_MS = 2_000;
 const EJECTION_OPTIONS: EjectionOptions = {
   minOutcomes: 6,
   minPeers: 3,
   failureMargin: 0.25,
-  // Entries don't tell how long answers took.
+  // Entries don't report response times.
   slowFactor: Number.POSITIVE_INFINITY,
   slowMarginMs: Number.POSITIVE_INFINITY,
   maxEjectedShare: 0.4,
@@ -30,9 +30,9 @@
 }
 
 /**
- * Answers of each runner at all entries. Where entries are many each sees so few
- * answers of one runner that it can't tell a failing one from its peers; together
- * they can within a second.
+ * Aggregates the outcomes of each runner over all entries. With many entries,
+ * each sees too few outcomes of one runner to distinguish a failing runner from
+ * its peers. Together they can within a second.
  */
 export class FleetOutcomes {
   private readonly accounts = new Map<string, RunnerAccount>();
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Runners that stand out by their failures, each with how long it is left out. */
+  /** Returns the remaining time of each ejection, by runner. */
   ejections(): Record<string, number> {
     const nowMs = this.deps.clock.nowMs();
     if (nowMs - this.updatedMs >= UPDATE_INTERVAL_MS) this.update(nowMs);
--- a/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
@@ -18,25 +18,25 @@
 interface RunnerAccount {
   perSecond: number | undefined;
   receivedMs: number;
-  /** When this process began to count. */
+  /** When this process started to count. */
   countedSinceMs: number;
   used: SlidingWindow;
   requested: DecayingRate;
 }
 
-/** Use of rate-limited runners by all entries, as the holder hears of it. */
+/** Use of rate-limited runners by all entries, as reported to the holder. */
 export class FleetRateLimits {
   private readonly accounts = new Map<string, RunnerAccount>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes in what an entry has heard of limits. */
+  /** Records the limits that an entry knows. */
   recordLimits(limits: readonly KnownRateLimit[]): void {
     const nowMs = this.clock.nowMs();
     for (const limit of limits) this.noteLimit(limit, nowMs);
   }
 
-  /** Takes in what an entry has made of them. */
+  /** Records the requests of an entry to rate-limited runners. */
   recordUse(uses: readonly RateUse[]): void {
     const nowMs = this.clock.nowMs();
     for (const {runnerId, asked, used} of uses) {
@@ -50,8 +50,8 @@
     const nowMs = this.clock.nowMs();
     const limits: Record<string, FleetRateLimit> = {};
     for (const [runnerId, account] of this.accounts) {
-      const {perSecond, receivedMs: heardMs} = account;
-      const ageMs = nowMs - heardMs;
+      const {perSecond, receivedMs} = account;
+      const ageMs = nowMs - receivedMs;
       if (ageMs > limitRetentionMs(perSecond)) {
         this.accounts.delete(runnerId);
         continue;
@@ -70,17 +70,17 @@
     {runnerId, perSecond, ageMs}: KnownRateLimit,
     nowMs: number,
   ): void {
-    const heardMs = nowMs - ageMs;
-    const known = this.accounts.get(runnerId);
-    if (known && heardMs <= known.receivedMs) return;
+    const receivedMs = nowMs - ageMs;
+    const account = this.accounts.get(runnerId);
+    if (account && receivedMs <= account.receivedMs) return;
     if (ageMs > limitRetentionMs(perSecond)) return;
-    if (known) {
-      known.perSecond = perSecond;
-      known.receivedMs = heardMs;
+    if (account) {
+      account.perSecond = perSecond;
+      account.receivedMs = receivedMs;
     } else if (perSecond !== undefined) {
       this.accounts.set(runnerId, {
         perSecond,
-        receivedMs: heardMs,
+        receivedMs,
         countedSinceMs: nowMs,
         used: new SlidingWindow(WINDOW_MS),
         requested: new DecayingRate(SMOOTHING_MS),
@@ -89,11 +89,14 @@
   }
 }
 
-/** Of the window before this process began to count, as if the limit was used. */
+/**
+ * Assumes full use of the limit for the part of the window before counting
+ * started.
+ */
 function assumedUse(
-  {countedSinceMs: sinceMs, perSecond = 0}: RunnerAccount,
+  {countedSinceMs, perSecond = 0}: RunnerAccount,
   nowMs: number,
 ): number {
-  const leftMs = Math.max(0, WINDOW_MS - (nowMs - sinceMs));
+  const leftMs = Math.max(0, WINDOW_MS - (nowMs - countedSinceMs));
   return (perSecond * leftMs) / MS_PER_SECOND;
 }
--- a/packages/banyanfold-gateway/src/placement/leaseHolder.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseHolder.ts
@@ -50,29 +50,36 @@
 import {SeenBatches} from './seenBatches.js';
 import {StandbyRoster} from './standbyRoster.js';
 
-/** Who asks for a model is told when it comes for this long after. */
+/**
+ * Entries are told when a copy will be ready for models requested within this
+ * time.
+ */
 const RECENT_DEMAND_MS = 5_000;
 /**
- * No copy makes way before: in the first moments whoever asks first has all of
- * the demand. Most of the time over which rates are smoothed.
+ * No copy is evicted before demand has been observed for this long, because the
+ * first requests would seem to be all of the demand. Most of the smoothing time
+ * of the rates.
  */
 const MIN_DEMAND_HISTORY_MS = 1_000;
-/** Shorter than the shortest interval at which one entry asks. */
+/** Shorter than the shortest exchange interval of one entry. */
 const COPIES_UPDATE_INTERVAL_MS = 40;
 /**
- * For so long after its lease has lapsed a holder still tells what it knows, in
- * ms: a renewal came late, and what runners hold hardly changes without orders.
+ * A holder still answers exchanges for this long after its lease has lapsed, in
+ * ms. The renewal may only be late, and what runners hold hardly changes
+ * without orders.
  */
 const LAPSED_ANSWER_MS = 1_500;
 /**
- * After a plan, or after it went through all runners, the holder does other things
- * for at least so many times as long, or renewals of the lease and answers would
- * wait for it.
+ * After a plan or a pass over all runners, the next one waits for this many
+ * times its duration, so that lease renewals and answers are not delayed.
  */
 const PAUSE_FACTOR = 8;
-/** What took long because the process was frozen doesn't put off the next time. */
+/**
+ * Bounds the pause, because a run may take long only because the process was
+ * frozen.
+ */
 const MAX_PAUSE_MS = 2_000;
-/** An unload waits for the runs under way, then is over at once. */
+/** An unload completes right after the requests in progress. */
 const EXPECTED_UNLOAD_MS = 100;
 
 export interface LeaseHolderOptions {
@@ -83,19 +90,22 @@
   control: RunnerControl;
   view: FleetView;
   options: GatewayOptions;
-  /** Address of this process, by which runners know who orders. */
+  /** Address of this process, which orders name as their sender. */
   holder: string;
   loadRate: LoadRate;
   crashes: CrashLedger;
-  /** Cores' worth of processor that the process may use. */
+  /** Number of cores that the process may use. */
   processorShare: number;
   usage: UsageAccounts;
-  /** An entry has this version, and this process an older one. */
+  /** Called when an entry has a newer configuration than this process. */
   onNewerConfig(version: number, peer: string): void;
   isLeaving: () => boolean;
 }
 
-/** Gives all orders to runners while this process holds the lease. */
+/**
+ * Plans placement and sends all orders to runners while this process holds the
+ * lease.
+ */
 export class LeaseHolder implements HolderHandlers {
   private readonly controllers = new Map<string, RunnerController>();
   private readonly demand = new FleetDemand();
@@ -104,7 +114,7 @@
   private readonly outcomes: FleetOutcomes;
   private rateLimits: FleetRateLimits;
   private fleetUsage: FleetUsage;
-  /** Of the lease, in which all use was reported here. */
+  /** Term of the lease during which all use was reported to this process. */
   private usageTerm: number | undefined;
   private relays: Relays = new Map();
   private relaysChosenMs = Number.NEGATIVE_INFINITY;
@@ -117,7 +127,7 @@
   private newestRunnersChange = 0;
   private plannedMs = Number.NEGATIVE_INFINITY;
   private planTookMs = 0;
-  /** When this process last could give orders. */
+  /** When this process last held the lease. */
   private lastHeldMs = Number.NEGATIVE_INFINITY;
   private readonly reportPoller: ReportPoller;
   private readonly standbyRoster: StandbyRoster;
@@ -130,8 +140,8 @@
     this.rateLimits = new FleetRateLimits(deps.clock);
     this.reportPoller = new ReportPoller({
       ...deps,
-      onReport: (asked, report, askedMs) =>
-        this.controllerFor(asked, report)?.applyReport(report, askedMs),
+      onReport: (queried, report, requestedMs) =>
+        this.controllerFor(queried, report)?.applyReport(report, requestedMs),
     });
     const epoch = `${deps.holder}#${deps.clock.wallMs()}`;
     this.revisions = new CopyRevisions(epoch);
@@ -190,7 +200,10 @@
     };
   }
 
-  /** While another process held the lease, use was reported there. */
+  /**
+   * Resets the counts, because entries reported their use to another holder
+   * before.
+   */
   private handleTermChange(term: number, nowMs: number): void {
     if (term === this.usageTerm) return;
     this.usageTerm = term;
@@ -198,7 +211,7 @@
     this.rateLimits = new FleetRateLimits(this.deps.clock);
   }
 
-  /** Goes on from what this process last heard as an entry. */
+  /** Starts from the amounts that this process last received as an entry. */
   private createFleetUsage(sinceMs: number): FleetUsage {
     const {usage} = this.deps;
     return new FleetUsage({
@@ -210,7 +223,9 @@
     });
   }
 
-  /** What organisations that are near their limits have left. */
+  /**
+   * Returns the remaining usage of organisations that are near their limits.
+   */
   usageNearLimit(): Record<string, FleetUsageTold> {
     const fleetUsage = this.fleetUsage.tell(this.deps.clock.nowMs());
     return this.deps.usage.nearLimit(fleetUsage, name => this.limitOf(name));
@@ -261,8 +276,8 @@
   }
 
   /**
-   * What runners hold and load is gone through once for several exchanges: with 82
-   * runners it takes longer than all else in an exchange.
+   * Updates what runners hold and load, once for several exchanges: with 82
+   * runners it takes longer than everything else in an exchange.
    */
   private refreshCopies(nowMs: number): void {
     const pauseMs = Math.max(
@@ -289,26 +304,33 @@
     return [...(this.relays.get(members[0]?.failureDomain ?? '') ?? [])];
   }
 
-  /** A caller that waits keeps its model asked for. */
+  /** A model with waiting requests counts as requested now. */
   private modelIdleMs(model: string, nowMs: number): number {
-    const isWaitedFor = this.entryLoads.waitingRequests(model, nowMs) > 0;
-    return isWaitedFor ? 0 : this.demand.idleMs(model, nowMs);
+    const hasWaiting = this.entryLoads.waitingRequests(model, nowMs) > 0;
+    return hasWaiting ? 0 : this.demand.idleMs(model, nowMs);
   }
 
-  /** For models that were asked for lately and that nobody holds. */
+  /**
+   * Estimates for models that were requested recently and that no runner
+   * serves.
+   */
   private estimateCopyDelays(nowMs: number): Record<string, number> {
-    const left: Record<string, number> = {};
+    const delaysMs: Record<string, number> = {};
     const controllers = [...this.controllers.values()];
-    const served = new Set(controllers.flatMap(each => each.servingModels()));
+    const servedModels = new Set(
+      controllers.flatMap(each => each.servingModels()),
+    );
     for (const {engine} of this.deps.view.currentConfig?.services.values() ??
       []) {
       for (const spec of engine?.models.values() ?? []) {
-        if (served.has(spec.name)) continue;
+        if (servedModels.has(spec.name)) continue;
         if (this.modelIdleMs(spec.name, nowMs) > RECENT_DEMAND_MS) continue;
-        left[spec.name] = Math.round(estimateCopyDelayMs(spec, controllers));
+        delaysMs[spec.name] = Math.round(
+          estimateCopyDelayMs(spec, controllers),
+        );
       }
     }
-    return left;
+    return delaysMs;
   }
 
   private reportedRunners(): ToldRunner[] {
@@ -352,7 +374,7 @@
     return !this.deps.isLeaving() && this.deps.lease.takeOver(handover);
   }
 
-  /** Entries heard of lately, the last heard first. */
+  /** Addresses of the entries that reported recently, the most recent first. */
   activeEntryAddresses(): string[] {
     const members = this.entryLoads.members(this.deps.clock.nowMs());
     return members.map(({address}) => address);
@@ -386,31 +408,31 @@
     this.viewHandlers[change.kind](change as never);
   }
 
-  /** A new configuration may say of other services that they serve models. */
+  /** A new configuration may turn other services into model services. */
   private syncControllers(): void {
     for (const {runnerId} of this.deps.view.allRunners()) {
       this.syncController(runnerId);
     }
   }
 
-  /** One controller for each model runner that is known. */
+  /** Creates the controller of a model runner that is new or has restarted. */
   private syncController(runnerId: string): void {
     const registration = this.deps.view.runner(runnerId);
     if (!registration || !this.engineOf(registration)) return;
-    const known = this.controllers.get(runnerId);
-    if (known && known.registration.bornMs >= registration.bornMs) return;
+    const existing = this.controllers.get(runnerId);
+    if (existing && existing.registration.bornMs >= registration.bornMs) return;
     this.createController(registration);
   }
 
   /**
-   * Orders, copies and doubts of a former life of the runner end with it: a
-   * runner that starts again holds nothing, and by what was known of before its
-   * callers would be sent to models that aren't there.
+   * Creates a controller without the orders, copies and uncertain state of an
+   * earlier start of the runner. A restarted runner holds nothing, and with the
+   * old state requests would be routed to models that are not there.
    */
   private createController(registration: RunnerRegistration): RunnerController {
     const {clock, logger, metrics, lease, control, holder} = this.deps;
     const {runnerId} = registration;
-    const created = new RunnerController(registration, {
+    const controller = new RunnerController(registration, {
       clock,
       logger,
       metrics,
@@ -420,8 +442,8 @@
       isAdapterInUse: adapter =>
         this.entryLoads.isAdapterInUse(runnerId, adapter, clock.nowMs()),
     });
-    this.controllers.set(runnerId, created);
-    return created;
+    this.controllers.set(runnerId, controller);
+    return controller;
   }
 
   private engineOf({service}: RunnerRegistration): EngineSpec | undefined {
@@ -433,12 +455,15 @@
     this.reportPoller.pollDue([...this.controllers.values()]);
   }
 
-  /** The controller of the life that reports; undefined for a life before. */
+  /**
+   * Returns the controller for the process start that sent the report;
+   * undefined if the runner has restarted since.
+   */
   private controllerFor(
-    asked: RunnerController,
+    queriedController: RunnerController,
     {bornMs}: RunnerReport,
   ): RunnerController | undefined {
-    const {registration} = asked;
+    const {registration} = queriedController;
     const {runnerId} = registration;
     const current = this.controllers.get(runnerId);
     if (!current || bornMs < current.registration.bornMs) return undefined;
@@ -471,8 +496,8 @@
     const runners: CopyRunner[] = [];
     for (const controller of this.controllers.values()) {
       const {runnerId} = controller.registration;
-      const known = view.runner(runnerId);
-      if (known?.service !== service || known.leaving) continue;
+      const registered = view.runner(runnerId);
+      if (registered?.service !== service || registered.leaving) continue;
       if (!controller.isReachable) continue;
       const inUse = this.entryLoads.modelsInUse(runnerId, nowMs);
       runners.push({...toCopyRunner(controller, engine), inUse});
--- a/packages/banyanfold-gateway/src/placement/leaseManager.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseManager.ts
@@ -12,78 +12,106 @@
   clock: Clock;
   logger: Logger;
   store: LeaseStore;
-  /** The store gives the lease to another after this long in silence. */
+  /**
+   * The store gives the lease to another member after this long without a
+   * renewal.
+   */
   ttlMs: number;
-  /** Orders of two holders must be this far apart. */
+  /**
+   * Minimum time between the last order of one holder and the first of the
+   * next.
+   */
   leaseMs: number;
-  /** A process that ran without trouble for this long counts as in touch. */
+  /** A process without store errors for this long counts as connected. */
   contactMs: number;
-  /** Asks the holder before this one; undefined when it doesn't answer. */
+  /**
+   * Asks the former holder for its last order. Returns undefined if it doesn't
+   * answer.
+   */
   queryFormerHolder: (
     address: string,
     generation: number,
   ) => Promise<LastOrder | undefined>;
-  /** Offers the lease to the peers; the address of the one that took it. */
+  /**
+   * Offers the lease to the peers. Returns the address of the peer that
+   * accepted it.
+   */
   handOver: (handover: LeaseHandover) => Promise<string | undefined>;
-  /** This process's own address. */
+  /** Address of this process. */
   address: string;
-  /** Runners refuse an order with a lower token than they have seen. */
+  /**
+   * Whether runners refuse an order whose token is lower than the highest they
+   * have seen.
+   */
   areRunnersFenced: boolean;
-  /** The whole system starts for the first time; there is no holder yet. */
+  /**
+   * Whether the whole system starts for the first time, so that there is no
+   * holder yet.
+   */
   isFirstStart: boolean;
-  /** Called when this process becomes the holder, and when it no longer is. */
+  /** Called when this process becomes the holder or stops being the holder. */
   onChange?: (isHolder: boolean) => void;
 }
 
-/** A moment on both clocks. */
+/** The same instant on the monotonic clock and on the wall clock. */
 interface ClockReading {
   steadyMs: number;
   wallMs: number;
 }
 
-/** Renewals a lease lasts for, so that one lost answer doesn't end it. */
+/**
+ * Renewal attempts per lease duration, so that one lost response doesn't end
+ * the lease.
+ */
 const RENEWALS_PER_TTL = 4;
-/** Lifetimes of the lease after which another process has it, if any takes it. */
+/**
+ * Number of lease durations after which a lapsed lease is assumed to have a new
+ * holder.
+ */
 const SUCCESSION_TTLS = 2;
-/** Not used of the lease at its end: for an order on its way, and clocks. */
+/**
+ * Safety margin before the lease expires, for orders in transit and clock
+ * differences.
+ */
 const LEASE_MARGIN_MS = 150;
-/** Renewals end after 1.5 s without an answer, and begin anew. */
+/** A renewal times out after 1.5 s and is then retried. */
 const RECENT_FAILURE_MS = 2_500;
-/** Tokens of one generation; it goes from peer to peer far less often. */
+/** Upper bound on handovers per generation; far fewer occur in practice. */
 const MAX_HANDOVERS = 1_000;
-/** The store counts the changes of a group from 1. */
+/** The store numbers the generations of a group from 1. */
 const FIRST_GENERATION = 1;
-/** Who holds it is asked again no sooner than this. */
+/** Minimum time between two queries for the owner of the lease. */
 const OWNER_QUERY_INTERVAL_MS = 300;
 
 /**
- * Keeps this process in the group among whose members the store deals the one
- * lease on giving orders.
+ * Keeps this process a member of the lease group. The store assigns the lease,
+ * which permits sending orders to runners, to one member of the group.
  *
- * A holder that was frozen or cut off doesn't know that another one orders by
- * now; its late orders would undo the other's. The lease counts from when its
- * renewal was sent and is checked right before each order, so it ends here before
- * the store gives it away. The steady clock stands still while a machine is
- * suspended and the time of day may jump; the longer of both spans counts, so a
- * jump ends the lease early at worst.
+ * A holder that was frozen or disconnected doesn't know that another process
+ * has taken over, and its late orders would undo those of the new holder. The
+ * lease therefore counts from the moment at which the renewal was sent and is
+ * checked right before each order, so that it ends here before the store
+ * reassigns it. The monotonic clock stops while a machine is suspended and the
+ * wall clock may jump; the longer of both elapsed times counts, so that a jump
+ * can only end the lease early.
  */
 export class LeaseManager implements LeaseSource {
   private timer: Timer | undefined;
   private isStopped = false;
   private isStandby = true;
   private generation = 0;
-  /** Times that it went from peer to peer within this generation. */
+  /** Handovers from peer to peer within this generation. */
   private handoverCount = 0;
   private keepsUntilExit = false;
   private ownsLease = false;
   private renewedAt: ClockReading | undefined;
-  /** When the renewal was sent that failed last. */
+  /** When the last failed renewal was sent. */
   private failedAt: ClockReading | undefined;
   private isStoreDown = false;
-  /** On the steady clock, on which a wait is never too short. */
+  /** On the monotonic clock, so that the wait is never too short. */
   private ordersAllowedFromMs = Number.POSITIVE_INFINITY;
   private holderAddress: string | undefined;
-  /** The last other process that held it. */
+  /** The last other process that held the lease. */
   private formerHolder: string | undefined;
   private readonly startedAt: ClockReading;
   private ownerQueriedMs = Number.NEGATIVE_INFINITY;
@@ -100,10 +128,10 @@
   }
 
   /**
-   * Where another process has the lease, this one stays out of the group until
-   * that one is gone: the store deals the lease anew with each that joins. Six
-   * processes that started on a busy day took it from its holder, and nobody
-   * ordered for 4 s.
+   * Stays out of the group while another process holds the lease, because the
+   * store reassigns the lease whenever a member joins. Six processes that
+   * started under load took the lease from its holder this way, and no orders
+   * were sent for 4 s.
    */
   private async joinOrDefer(): Promise<void> {
     const {isFirstStart} = this.options;
@@ -132,9 +160,9 @@
   }
 
   /**
-   * A later holder asks this one, or a runner has seen a higher token: whoever
-   * has it now, this process doesn't. Returns whether it was out of touch with
-   * the store, so that the other one need not wait for it.
+   * Gives up the lease because a later holder has called or a runner has seen a
+   * higher token. Returns whether this process had lost contact with the store,
+   * in which case the later holder need not wait.
    */
   yieldTo(generation: number, address?: string): boolean {
     const {contactMs} = this.options;
@@ -153,8 +181,9 @@
   }
 
   /**
-   * A peer says who holds the lease. A process that is cut off from the store
-   * has no other way to learn it, and its callers would wait for adapters.
+   * Records the holder that a peer reports. A process that is disconnected from
+   * the store can't learn the holder in any other way, and its requests would
+   * wait for adapters.
    */
   noteHolder(address: string | undefined): void {
     if (address === undefined || address === this.holderAddress) return;
@@ -164,11 +193,13 @@
   }
 
   /**
-   * The group is for a few processes with room for the work of a holder. One
-   * that is told to stand aside leaves it; one that hears from no holder any
-   * more comes back, whatever its size, or nobody would give orders once all
-   * that stood by are gone. It comes back for no other reason, because the store
-   * may deal the lease anew then.
+   * Joins or leaves the group of standbys. The group is kept small and holds
+   * processes with enough capacity for the work of a holder.
+   *
+   * A process that no longer receives answers from a holder rejoins whatever
+   * its size, because otherwise no orders would be sent once all standbys have
+   * failed. It rejoins for no other reason, because joining may make the store
+   * reassign the lease.
    */
   setStandby(isStandby: boolean): void {
     if (this.isStopped || isStandby === this.isStandby) return;
@@ -181,7 +212,9 @@
     else void this.leaveGroup();
   }
 
-  /** A runner has seen a higher token than this process's. */
+  /**
+   * Called when a runner has seen a higher token than the one of this process.
+   */
   noteFenced(): void {
     this.yieldTo(this.generation + 1);
   }
@@ -194,43 +227,46 @@
   }
 
   /**
-   * Gives the lease up. While the store is out it can't deal it to another, so
-   * it goes to a peer, and with no peer in reach this process keeps it until
-   * its end; else nobody would give orders until the store is back.
+   * Releases the lease. If the store is unreachable it can't assign the lease
+   * to another member, so the lease is handed over to a peer. If no peer is
+   * reachable, this process keeps the lease until it exits; otherwise no orders
+   * would be sent until the store is back.
    */
   async release(): Promise<void> {
     this.isStopped = true;
     this.timer?.cancel();
     const isHeld = this.ownsLease;
-    // The store may take the call and its answer be lost; the next holder's
-    // orders and this one's would then reach the same runner by turns.
+    // The store may process the call although its response is lost. Orders of
+    // the next holder and of this process would then reach the same runner
+    // alternately.
     if (!this.options.areRunnersFenced) this.stopOrders();
-    const left = await this.options.store.leave();
-    if (left.isOk()) {
+    const result = await this.options.store.leave();
+    if (result.isOk()) {
       this.ownsLease = false;
       this.current();
       return;
     }
     const {logger, handOver} = this.options;
-    logger.warn('lease-leave-failed', {isHeld, error: left.error.message});
+    logger.warn('lease-leave-failed', {isHeld, error: result.error.message});
     if (!isHeld || !this.options.areRunnersFenced) return;
-    const takenBy = await handOver({
+    const newHolder = await handOver({
       generation: this.generation,
       step: this.handoverCount + 1,
     });
-    logger.info('lease-handed-over', {takenBy});
-    this.ownsLease = takenBy === undefined;
+    logger.info('lease-handed-over', {takenBy: newHolder});
+    this.ownsLease = newHolder === undefined;
     this.keepsUntilExit = this.ownsLease;
-    // Peers that still ask this process learn it in no other way: the store,
-    // which is out, says who holds the lease only when it is back.
-    if (takenBy !== undefined) this.recordHolderAddress(takenBy);
+    // Peers that still query this process have no other way to learn the new
+    // holder while the store is unreachable.
+    if (newHolder !== undefined) this.recordHolderAddress(newHolder);
     this.current();
   }
 
   /**
-   * Takes the lease from a holder that leaves while the store is out. Only the
-   * one holder gives it away, and to one process, so there is one still; the
-   * store's next word counts.
+   * Accepts the lease from a holder that shuts down while the store is
+   * unreachable. Only the current holder hands the lease over, and to one
+   * process only, so there is still a single holder. The next response of the
+   * store takes precedence.
    */
   takeOver({generation, step}: LeaseHandover): boolean {
     const isLate = generation < this.generation;
@@ -251,15 +287,15 @@
     this.current();
   }
 
-  /** Orders end before the store may give the lease to another. */
+  /** Leaves the group. Orders stop before the store can reassign the lease. */
   private async leaveGroup(): Promise<void> {
     this.timer?.cancel();
     this.renewedAt = undefined;
     this.stopOrders();
-    const left = await this.options.store.leave();
-    // The store drops a member that is silent, a little later.
-    if (left.isErr()) {
-      const error = left.error.message;
+    const result = await this.options.store.leave();
+    // The store removes a silent member itself after a short time.
+    if (result.isErr()) {
+      const error = result.error.message;
       this.options.logger.warn('lease-leave-failed', {isHeld: false, error});
     }
   }
@@ -268,19 +304,20 @@
     const {ttlMs, logger, clock} = this.options;
     this.timer?.cancel();
     const sentAt = this.now();
-    const joined = await this.joinUnlessHeld();
-    if (joined === 'left-to-another') return;
+    const joinResult = await this.joinUnlessHeld();
+    if (joinResult === 'left-to-another') return;
     if (this.isStopped || !this.isStandby) return;
-    if (joined.isOk()) {
-      const {generation, owns} = joined.value;
+    if (joinResult.isOk()) {
+      const {generation, owns} = joinResult.value;
       if (this.isStoreDown) logger.info('lease-renewed', {generation, owns});
       this.isStoreDown = false;
-      // Without checks at the runners, one that went to another and came back
-      // is as good as new: the other one may have ordered a moment ago.
+      // If runners don't check tokens, a lease that moved to another process
+      // and came back counts as newly gained, because the other process may
+      // have sent orders a moment ago.
       const hasMoved = this.hasLapsed() && generation !== this.generation;
       const isFenced = this.options.areRunnersFenced;
       const isGained = owns && (!this.ownsLease || (hasMoved && !isFenced));
-      // It may have gone to another and come back between two renewals.
+      // The lease may have moved away and come back between two renewals.
       if (isGained || (owns && this.hasLapsed())) this.term += 1;
       if (!owns && this.ownsLease) logger.info('lease-lost', {generation});
       this.generation = generation;
@@ -289,26 +326,29 @@
       this.renewedAt = sentAt;
       if (isGained) void this.waitForFormerHolder();
     } else {
-      // Once for each loss: it is tried four times a second.
+      // Logged once per outage, because the renewal is retried four times a
+      // second.
       if (!this.isStoreDown) {
-        logger.warn('lease-renewal-failed', {error: joined.error.message});
+        logger.warn('lease-renewal-failed', {error: joinResult.error.message});
       }
       this.isStoreDown = true;
       this.failedAt = sentAt;
-      // After a lapse another one may have ordered; the wait begins anew.
+      // Another process may have sent orders after a lapse, so the wait starts
+      // again.
       if (this.hasLapsed() && !this.mayExtendLease()) this.ownsLease = false;
     }
     this.current();
     const delayMs = ttlMs / RENEWALS_PER_TTL;
-    // One of before it stood aside may have come back late.
+    // A timer set before this process left the group may still be pending.
     this.timer?.cancel();
     this.timer = clock.setTimer(delayMs, () => void this.renew());
   }
 
   /**
-   * Another process may hold the lease by now. Of one whose renewals fail the store
-   * is asked only after a while: where it turns most calls away, as when hundreds of
-   * processes start, a question takes the place of the renewal.
+   * Whether another process may hold the lease by now. While renewals fail, the
+   * store is queried only after a longer time: a store that rejects most calls,
+   * as when hundreds of processes start, would serve the query instead of the
+   * renewal.
    */
   private mayHaveSuccessor(): boolean {
     const {renewedAt, failedAt} = this;
@@ -321,9 +361,10 @@
   }
 
   /**
-   * Joins the group, or renews the membership. One whose membership has lapsed, by
-   * a suspension or because the store was out of its reach, asks first who holds
-   * the lease: the store may deal it anew when a member comes back.
+   * Joins the group or renews the membership. If the membership has lapsed,
+   * because the process was suspended or the store was unreachable, the owner
+   * is queried first, since the store may reassign the lease when a member
+   * rejoins.
    */
   private async joinUnlessHeld(): Promise<
     Result<LeaseAnswer, BanyanfoldError> | 'left-to-another'
@@ -331,7 +372,8 @@
     const {store} = this.options;
     if (this.mayHaveSuccessor()) {
       const owner = await store.owner();
-      // A store that turns most calls away may take a renewal, which counts less.
+      // A store that rejects most calls may still accept a renewal, which is
+      // cheaper.
       if (owner.isErr()) this.failedAt = this.now();
       if (this.deferTo(owner.unwrapOr(undefined))) return 'left-to-another';
     }
@@ -339,58 +381,61 @@
   }
 
   /**
-   * Orders of two holders that both work must be `leaseMs` apart. The one
-   * before says when it ordered last; where runners check tokens, one that is
-   * leaving, was out of touch with the store or doesn't answer need not be waited
-   * for, and a process that has just started doesn't wait: after all were killed
-   * at once, that would only keep callers waiting.
+   * Waits until orders of this process are `leaseMs` apart from those of the
+   * former holder, which reports when it sent its last order.
    *
-   * Where they don't check, only the time between the orders of two VMs keeps
-   * them apart. A runner would obey both: after rolling stops and after power
-   * was lost, the next holder ordered within the same second as the one before.
-   * A former holder's orders end with its lease, before the store gives it to
-   * another, so that `leaseMs` from here is enough without any answer.
+   * If runners check tokens, a former holder that is shutting down, has lost
+   * the store or doesn't answer need not be waited for. A process that has just
+   * started doesn't wait either: after all processes were killed at once,
+   * waiting would only delay requests.
+   *
+   * If runners don't check tokens, only the time between orders separates two
+   * holders, because a runner would obey both. After rolling restarts and after
+   * a power loss, the next holder sent orders within one second of the previous
+   * one. Orders of a former holder end with its lease, before the store
+   * reassigns it, so a wait of `leaseMs` from here is sufficient without a
+   * response.
    */
   private async waitForFormerHolder(): Promise<void> {
-    const {
-      leaseMs,
-      contactMs,
-      logger,
-      clock,
-      queryFormerHolder: askFormer,
-      address,
-    } = this.options;
+    const {leaseMs, contactMs, logger, clock, queryFormerHolder, address} =
+      this.options;
     const generation = this.generation;
     this.ordersAllowedFromMs = clock.nowMs() + leaseMs;
-    const former = this.formerHolder;
+    const formerHolder = this.formerHolder;
     const isFenced = this.options.areRunnersFenced;
     let waitMs = leaseMs;
-    if (former !== undefined) {
-      const last = await askFormer(former, generation);
-      const hasFormerStopped = isFenced && (last === undefined || last.isOver);
+    if (formerHolder !== undefined) {
+      const lastOrder = await queryFormerHolder(formerHolder, generation);
+      const hasFormerStopped =
+        isFenced && (lastOrder === undefined || lastOrder.isOver);
       waitMs = hasFormerStopped
         ? 0
-        : Math.max(0, leaseMs - sinceLastOrderMs(last, isFenced));
+        : Math.max(0, leaseMs - sinceLastOrderMs(lastOrder, isFenced));
       if (this.generation !== generation) waitMs = leaseMs;
     }
     const hasJustStarted = this.elapsedMs(this.startedAt) < contactMs;
     if (isFenced && hasJustStarted) waitMs = 0;
-    // Nobody has had the lease before in the group's first generation.
+    // In the first generation of the group there is no former holder.
     if (generation === FIRST_GENERATION) waitMs = 0;
     this.ordersAllowedFromMs = clock.nowMs() + waitMs;
     this.formerHolder = undefined;
     this.holderAddress = address;
-    logger.info('lease-gained', {generation, former, orderInMs: waitMs});
+    logger.info('lease-gained', {
+      generation,
+      former: formerHolder,
+      orderInMs: waitMs,
+    });
     clock.setTimer(waitMs, () => this.current());
   }
 
   /**
-   * While the store is out nobody can take the lease over, and without orders
-   * callers of most models would be refused. Where runners check tokens, the
-   * last holder goes on: should another one have the lease after all, its
-   * first order to a runner shuts this one out there, and each order names how
-   * many came before it. A process that has just woken up has not seen its
-   * renewals fail and must hear from the store first.
+   * Whether the last holder may continue although its lease has lapsed. While
+   * the store is unreachable nobody can take over the lease, and without orders
+   * most requests would be refused. This is safe where runners check tokens: if
+   * another process does hold the lease, its first order to a runner fences
+   * this process off there, and each order names the number of orders before
+   * it. A process that has just resumed has not seen its renewals fail and
+   * needs a response of the store first.
    */
   private mayExtendLease(): boolean {
     if (!this.options.areRunnersFenced || !this.failedAt) return false;
@@ -398,22 +443,23 @@
   }
 
   /**
-   * A process that starts, wakes up or reaches the store again finds another one at
-   * work. Were the lease dealt anew, the new holder would have to wait until its
-   * orders are a lease apart from the last one's, and callers would get no adapters
-   * meanwhile. It stands aside instead, until it hears from no holder.
+   * Leaves the group if another process holds the lease, so that the store
+   * doesn't reassign it. A new holder would have to wait until its orders are
+   * one lease apart from those of the last one, and requests would get no
+   * adapters meanwhile. This process rejoins once no holder responds.
    *
-   * @param other the address that the store names as the holder.
+   * @param holder address of the holder according to the store.
    */
-  private deferTo(other: string | undefined): boolean {
+  private deferTo(holder: string | undefined): boolean {
     const {address, logger} = this.options;
-    if (other === undefined || other === address) return false;
+    if (holder === undefined || holder === address) return false;
     this.isStandby = false;
     this.ownsLease = false;
-    // When told to come back it joins, whoever the store still names as holder.
+    // When told to rejoin, this process joins whichever holder the store still
+    // names.
     this.renewedAt = undefined;
-    this.recordHolderAddress(other);
-    logger.info('lease-left', {holder: other});
+    this.recordHolderAddress(holder);
+    logger.info('lease-left', {holder});
     this.current();
     return true;
   }
@@ -448,7 +494,7 @@
     this.options.logger.info('holder', {address: owner.value});
   }
 
-  /** The last other process that held it is the one to ask. */
+  /** Remembers the last other holder, which a new holder has to query. */
   private recordHolderAddress(holderAddress: string | undefined): void {
     this.holderAddress = holderAddress;
     if (holderAddress === undefined) return;
@@ -467,13 +513,13 @@
   }
 }
 
-/** Since a former holder's last order, as far as its answer says. */
+/** Time since the last order of a former holder, according to its answer. */
 function sinceLastOrderMs(
   last: LastOrder | undefined,
   isFenced: boolean,
 ): number {
   if (!last) return 0;
   if (last.agoMs !== undefined) return last.agoMs;
-  // One that has started since may have ordered in its life before.
+  // A holder that has restarted may have sent orders before its restart.
   return isFenced ? Number.POSITIVE_INFINITY : last.upMs;
 }
--- a/packages/banyanfold-gateway/src/placement/leaseTtlMs.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseTtlMs.ts
@@ -1,18 +1,20 @@
-/** Renewed four times in it; a dead holder is noticed after it. */
+/**
+ * Renewed four times within it. The failure of a holder is detected after it.
+ */
 const BASE_TTL_MS = 1_000;
-/** The share for which the shortest one was chosen; reasoned, not compared. */
+/** Processor share at which `BASE_TTL_MS` is long enough. */
 const REFERENCE_SHARE = 0.5;
-/** Without a holder nobody gets an adapter that isn't there, in ms. */
+/** Without a holder no missing adapter is loaded, which bounds the duration. */
 const MAX_TTL_MS = 2_000;
 
 /**
- * How long the lease of a process lasts without a renewal. One with less
- * processor stands still for longer when it is busy: at 0.12 cores
- * with a lease of 1 s orders ended and began again three times within 3 s of the
- * first callers, while their holder was at work.
+ * Returns how long the lease of a process lasts without a renewal. A process
+ * with a smaller processor share stalls for longer when it is busy: with 0.12
+ * cores and a lease of 1 s, orders stopped and resumed three times within 3 s
+ * of the first requests although the holder was running.
  *
- * @param processorShare cores' worth that the process may use.
- * @param minMs the shortest that the store takes.
+ * @param processorShare number of cores that the process may use.
+ * @param minMs shortest duration that the store accepts.
  * @example leaseTtlMs(0.25, 1_000) // 2000
  */
 export function leaseTtlMs(processorShare: number, minMs: number): number {
--- a/packages/banyanfold-gateway/src/placement/loadRate.ts
+++ b/packages/banyanfold-gateway/src/placement/loadRate.ts
@@ -1,25 +1,27 @@
 const MS_PER_SECOND = 1000;
 /**
- * Loads that a process may begin before it has heard of those of others. The
- * store's bound lies a tenth and three loads over its rate; two processes that
- * start within one window stay under it: for 1.1 loads a second and 5 s, 5 known
- * and 4 of these against 9. With none, callers of a model that nobody held waited
- * out the whole window after all processes were killed.
+ * Number of loads that a process may start before it has received the loads of
+ * other processes. The bound of the store is 1.1 times its rate plus three
+ * loads. Two processes that start within one window stay below it: for 1.1
+ * loads per second and 5 s, 5 known loads and 4 of these, against a bound of 9.
+ * With 0 here, requests for a model that no runner held waited for the whole
+ * window after all processes had been killed.
  */
 const LOADS_BEFORE_SYNC = 2;
 
 /**
- * Loads from the weight store within a sliding window. The store refuses none
- * but slows all of them down when more begin than it allows.
+ * Limits loads from the weight store within a sliding window. The store refuses
+ * none but slows all of them down when more are started than it allows.
  */
 export class LoadRate {
   private startedMs: number[] = [];
 
   /**
-   * @param unsyncedUntilMs until then others may have begun as many loads as are
-   *   allowed; a process that has just started has not heard of them yet, and
-   *   with a window of its own the store would get twice as many. It begins only
-   *   as many as the store bears over its rate.
+   * @param unsyncedUntilMs until this time other processes may have started as
+   *   many loads as are allowed. A process that has just started doesn't know
+   *   of them yet, and a full window of its own would double the load of the
+   *   store. It starts only as many loads as the store tolerates beyond its
+   *   rate.
    */
   constructor(
     private readonly windowMs: number,
@@ -30,7 +32,7 @@
     this.startedMs.push(nowMs);
   }
 
-  /** Since each load that still counts, for the next holder. */
+  /** Age of each load within the window, for the next holder. */
   loadAgesMs(nowMs: number): number[] {
     return this.startedMs
       .map(atMs => nowMs - atMs)
@@ -38,8 +40,8 @@
   }
 
   /**
-   * What the holder has begun. A new holder that counted only its own would
-   * begin as many again within the same window.
+   * Takes over the loads that the holder has started. A new holder that counted
+   * only its own would start as many again within the same window.
    */
   restore(agesMs: readonly number[], nowMs: number): void {
     this.unsyncedUntilMs = Number.NEGATIVE_INFINITY;
--- a/packages/banyanfold-gateway/src/placement/reportPoller.ts
+++ b/packages/banyanfold-gateway/src/placement/reportPoller.ts
@@ -4,9 +4,9 @@
 import {dueReports} from './dueReports.js';
 import type {RunnerController} from './runnerController.js';
 
-/** Reports are asked for so often, a few at a time. */
+/** Interval at which a few reports at a time are requested. */
 export const REPORT_TICK_MS = 50;
-/** Runners that nothing is known of which are asked at once. */
+/** Maximum number of unknown runners that are queried at once. */
 const MAX_UNKNOWN_BURST = 32;
 const MS_PER_SECOND = 1000;
 
@@ -15,18 +15,21 @@
   logger: Logger;
   control: RunnerControl;
   options: GatewayOptions;
-  /** Cores' worth of processor that the process may use. */
+  /** Number of cores that the process may use. */
   processorShare: number;
   onReport(
-    asked: RunnerController,
+    controller: RunnerController,
     report: RunnerReport,
-    askedMs: number,
+    requestedMs: number,
   ): void;
 }
 
-/** Asks runners for their reports, within the holder's processor. */
+/**
+ * Requests the reports of runners at a rate that the holder's processor share
+ * allows.
+ */
 export class ReportPoller {
-  /** Runners that were asked and have not answered yet. */
+  /** Runners whose report was requested and has not arrived yet. */
   private readonly inFlight = new Set<string>();
   private readonly lastRequestedMs = new WeakMap<RunnerController, number>();
   private unknownQuota = MAX_UNKNOWN_BURST;
@@ -36,7 +39,9 @@
     this.quotaUpdatedMs = deps.clock.nowMs();
   }
 
-  /** Asks those whose report is due, the longest unasked first. */
+  /**
+   * Requests the reports that are due, those that have waited longest first.
+   */
   pollDue(controllers: readonly RunnerController[]): void {
     const {clock, options, processorShare} = this.deps;
     const nowMs = clock.nowMs();
@@ -66,8 +71,11 @@
     const {options, processorShare} = this.deps;
     const perMs =
       (options.firstReportsPerCoreSecond * processorShare) / MS_PER_SECOND;
-    const gained = (nowMs - this.quotaUpdatedMs) * perMs;
-    this.unknownQuota = Math.min(MAX_UNKNOWN_BURST, this.unknownQuota + gained);
+    const replenished = (nowMs - this.quotaUpdatedMs) * perMs;
+    this.unknownQuota = Math.min(
+      MAX_UNKNOWN_BURST,
+      this.unknownQuota + replenished,
+    );
     this.quotaUpdatedMs = nowMs;
   }
 
@@ -76,24 +84,25 @@
     const {runnerId, address} = controller.registration;
     if (this.inFlight.has(runnerId)) return;
     this.inFlight.add(runnerId);
-    const askedMs = clock.nowMs();
-    this.lastRequestedMs.set(controller, askedMs);
-    const answer = await control.report(runnerId, address);
+    const requestedMs = clock.nowMs();
+    this.lastRequestedMs.set(controller, requestedMs);
+    const result = await control.report(runnerId, address);
     this.inFlight.delete(runnerId);
-    if (answer.isOk()) return onReport(controller, answer.value, askedMs);
+    if (result.isOk()) return onReport(controller, result.value, requestedMs);
     controller.recordReportFailure();
     logger.warn('report-failed', {
       runner: runnerId,
-      error: answer.error.message,
+      error: result.error.message,
     });
   }
 }
 
 /**
- * One that doesn't answer is asked no more often than those that are known, and
- * one whose order is to be over is awaited in any case.
+ * Whether no report of the runner has arrived. A runner that doesn't answer is
+ * queried no more often than known ones, and one whose order should be complete
+ * is awaited in any case.
  */
 function isUnknown(controller: RunnerController): boolean {
-  const {isReady: isKnown, isReachable, isReportDue: awaitsReport} = controller;
-  return !isKnown && isReachable && !awaitsReport;
+  const {isReady, isReachable, isReportDue} = controller;
+  return !isReady && isReachable && !isReportDue;
 }
--- a/packages/banyanfold-gateway/src/placement/runnerController.ts
+++ b/packages/banyanfold-gateway/src/placement/runnerController.ts
@@ -15,7 +15,7 @@
   lease: LeaseSource;
   control: RunnerControl;
   holder: string;
-  /** Whether requests that use the adapter are under way here. */
+  /** Whether requests in progress on this runner use the adapter. */
   isAdapterInUse(adapter: string): boolean;
 }
 
@@ -27,55 +27,63 @@
 }
 
 /**
- * What came of an order, as far as it is known: taken on and not over yet, over
- * at once, turned away, or without an answer.
+ * Result of an order as far as it is known: accepted and in progress, completed
+ * at once, refused, or unanswered.
  */
 export type OrderResult = 'begun' | 'done' | 'refused' | 'unknown';
 
-/** An adapter that is at a runner, or is being fetched. */
+/** An adapter that is loaded on the runner or is being fetched. */
 interface HeldAdapter {
   model: string;
   adapter: string;
   usedMs: number;
-  /** Its load got no answer; the place counts as taken all the same. */
+  /** Its load got no answer. The slot counts as occupied all the same. */
   isUnconfirmed?: boolean;
 }
 
-/** Reports are some hundred ms old; 200 to 260 ms were seen. */
+/** Upper bound on the age of a report; 200 to 260 ms were measured. */
 const MAX_REPORT_LAG_MS = 1_000;
-/** One question may be lost on the way; after two its copies don't count. */
+/**
+ * One request for a report may be lost. After two, the copies of the runner
+ * don't count.
+ */
 const MAX_FAILED_REPORTS = 2;
 /**
- * An adapter that was asked for a moment ago is about to be used. When more are
- * asked for at once than there are places, taking it away again would have both
- * requests wait by turns.
+ * An adapter that was requested recently is about to be used. With more
+ * adapters requested at once than there are slots, evicting it would make both
+ * requests wait alternately.
  */
 const MIN_ADAPTER_HOLD_MS = 300;
-/** A runner that turned an order away is left alone until its next report. */
+/** Time without orders to a runner that refused one, until its next report. */
 const CONFLICT_PAUSE_MS = 150;
-/** From 150 ms to 600; by then a report has come. */
+/** The pause grows from 150 ms to 600 ms; a report has arrived by then. */
 const CONFLICT_DOUBLINGS = 2;
 
 /**
- * A runner that left an order unanswered is not relied on for so long: three
- * loads in a row went to one that was about to go, and 58 callers waited for 5 s.
+ * A runner that left an order unanswered is avoided for this long: three
+ * consecutive loads went to a runner that was about to stop, and 58 requests
+ * waited for 5 s.
  */
 const UNRESPONSIVE_MS = 3_000;
 
-/** A registration of one that is gone lasts for three heartbeats of 1.2 s. */
+/** The registration of a stopped runner lasts for three heartbeats of 1.2 s. */
 const ADDRESS_REUSED_MS = 4_000;
 
-/** A load takes a few seconds; then the runner's report decides. */
+/**
+ * A load takes a few seconds. After this time only the report of the runner
+ * counts.
+ */
 const MAX_BUSY_MS = 12_000;
 
 /**
- * All that the holder knows of one runner, and the one place from which it
- * gives that runner orders, one after the other.
+ * Holds the state of one runner as the holder of the lease knows it, and sends
+ * all orders to that runner, one after the other.
  *
- * An order without an answer may be carried out seconds later, after newer
- * ones: a load that arrives when its place was given away overfills the runner,
- * which crashes. Each order names the number of orders that the runner has
- * accepted so far, so that of an old and a new order only one takes effect.
+ * An unanswered order may be carried out seconds later, after newer ones. A
+ * load that arrives after its memory was assigned to another model overfills
+ * the runner, which crashes. Each order therefore names the number of orders
+ * that the runner has accepted so far, so that only one of an old and a new
+ * order takes effect.
  */
 export class RunnerController {
   readonly models = new Set<string>();
@@ -85,32 +93,32 @@
   /** The model that is being loaded. */
   loadingModel: string | undefined;
   /**
-   * The model that is being unloaded. The runner goes on with its runs and
-   * names it in reports until they are over, and refuses new ones.
+   * The model that is being unloaded. The runner finishes its requests in
+   * progress, lists the model in reports until then, and refuses new requests.
    */
   private unloadingModel: string | undefined;
   lastOrderMs: number | undefined;
-  /** The last order that a runner may have taken on. */
+  /** When the last order was sent that the runner may have accepted. */
   private lastPossibleEffectMs: number | undefined;
   private consecutiveConflicts = 0;
-  /** When another runner last answered at its address. */
+  /** When another runner last answered at the address of this one. */
   private addressReusedMs: number | undefined;
-  /** When the last order turned out to be without an answer. */
+  /** When the last order turned out to be unanswered. */
   private unansweredMs: number | undefined;
-  /** Room is being made for it. */
+  /** The model for which memory is being freed. */
   intendedModel: string | undefined;
-  /** Orders on models that wait here or have no answer yet. */
+  /** Orders on models that are queued or unanswered. */
   private pendingModelOrders = 0;
   private busyUntilMs = 0;
   private expectedEndMs = 0;
   private failedReports = 0;
   private orderNumber: number | undefined;
-  /** The lease's term in which the last report was taken. */
+  /** Term of the lease in which the last report was applied. */
   private reportedInTerm: number | undefined;
-  /** An answer left open whether the runner counted the order. */
+  /** Whether an answer left open if the runner counted the order. */
   private isOrderNumberUncertain = false;
   private queue: Promise<unknown> = Promise.resolve();
-  /** Adapters that were ordered away and still serve. */
+  /** Adapters that are being unloaded and still serve. */
   private readonly unloadingAdapters = new Set<string>();
   private readonly pendingFetches = new Map<string, Promise<boolean>>();
 
@@ -126,30 +134,38 @@
     return isUnderWay || this.pendingModelOrders > 0;
   }
 
-  /** The order under way is expected to be over, so that a report will tell. */
+  /**
+   * Whether the order in progress is expected to be complete, so that a report
+   * will show it.
+   */
   get isReportDue(): boolean {
     return this.isBusy && this.options.clock.nowMs() >= this.expectedEndMs;
   }
 
-  /** It left an order unanswered lately, as one does that is about to go. */
+  /**
+   * Whether it recently left an order unanswered, as a runner does that is
+   * about to stop.
+   */
   get isUnresponsive(): boolean {
     const {unansweredMs} = this;
     if (unansweredMs === undefined) return false;
     return this.options.clock.nowMs() - unansweredMs < UNRESPONSIVE_MS;
   }
 
-  /** Until the order under way is expected to be over. */
+  /** Expected time until the order in progress is complete. */
   get remainingMs(): number {
     return Math.max(0, this.expectedEndMs - this.options.clock.nowMs());
   }
 
   /**
-   * It can be given orders: a report has come since this process got the lease.
+   * Whether the runner can receive orders: a report has arrived since this
+   * process gained the lease.
    *
-   * What it knew when it last had the lease may be wrong though the number of
-   * orders still fits: an unload whose answer was lost, and that never happened,
-   * left memory that counted as free, and the next load would overfill the
-   * runner, which crashes. A report tells both the number and what is held.
+   * State from an earlier term may be wrong although the number of orders still
+   * matches. An unload whose answer was lost and that never took place left
+   * memory counted as free, and the next load would have overfilled the runner,
+   * which crashes. A report contains both the number of orders and what the
+   * runner holds.
    */
   get isReady(): boolean {
     return (
@@ -159,8 +175,9 @@
   }
 
   /**
-   * It answered the last question for its report. Another runner at its address
-   * answers too, and says that it isn't this one only to an order.
+   * Whether the runner answered recent requests for its report. Another runner
+   * at the same address answers these too, and reveals its identity only in
+   * response to an order.
    */
   get isReachable(): boolean {
     const isGone =
@@ -179,11 +196,12 @@
   }
 
   /**
-   * A report lags: one that was made before the last order would bring back
-   * what that order changed. One with as many orders counts; one with more
-   * tells of an order that was taken for lost. One that was asked for long
-   * after the last order counts in any case, or a number that was counted too
-   * high would have all reports left out and all orders refused for good.
+   * Applies a report, unless it is stale. A report made before the last order
+   * would restore what that order changed. A report with the same number of
+   * orders counts; one with a higher number shows that an order that seemed
+   * lost was accepted. A report requested long after the last order always
+   * counts, because otherwise a number that was counted too high would make all
+   * reports ignored and all orders refused permanently.
    */
   applyReport(report: RunnerReport, askedMs: number): void {
     const {options} = this;
@@ -200,8 +218,9 @@
     this.reportedInTerm = options.lease.current().term;
     this.isOrderNumberUncertain = false;
     if (report.busy) {
-      // A load of the holder before this one takes memory that no report shows
-      // until it is over; another one after it would overfill the runner.
+      // A load of the previous holder takes memory that no report shows until
+      // it is complete. Another load during that time would overfill the
+      // runner.
       this.busyUntilMs = options.clock.nowMs() + MAX_BUSY_MS;
     } else {
       this.busyUntilMs = 0;
@@ -210,33 +229,33 @@
     }
     this.models.clear();
     const nowMs = options.clock.nowMs();
-    const seen = new Set<string>();
+    const present = new Set<string>();
     for (const {name, adapters} of report.models) {
       this.models.add(name);
-      for (const adapter of adapters) seen.add(adapterKey(name, adapter));
+      for (const adapter of adapters) present.add(adapterKey(name, adapter));
       for (const adapter of adapters) this.addAdapter(name, adapter, nowMs);
     }
     for (const {model, adapter} of report.pendingAdapters) {
-      seen.add(adapterKey(model, adapter));
+      present.add(adapterKey(model, adapter));
       this.addAdapter(model, adapter, nowMs);
     }
     for (const key of this.adapters.keys()) {
-      if (seen.has(key) || this.pendingFetches.has(key)) continue;
+      if (present.has(key) || this.pendingFetches.has(key)) continue;
       this.adapters.delete(key);
       this.unloadingAdapters.delete(key);
     }
     if (this.loadingModel !== undefined) this.models.add(this.loadingModel);
   }
 
-  /** Brings an adapter here, making a place for it if need be. */
+  /** Loads an adapter on the runner and frees a slot for it if necessary. */
   ensureAdapter(
     model: string,
     adapter: string,
     adapterSlots: number,
   ): Promise<boolean> {
     const key = adapterKey(model, adapter);
-    const running = this.pendingFetches.get(key);
-    if (running) return running;
+    const pending = this.pendingFetches.get(key);
+    if (pending) return pending;
     const fetch = this.enqueue(() =>
       this.fetchAdapter(model, adapter, adapterSlots),
     ).finally(() => this.pendingFetches.delete(key));
@@ -245,9 +264,9 @@
   }
 
   /**
-   * Gives an order on a model.
+   * Sends an order on a model.
    *
-   * @param expectedMs how long it is expected to take.
+   * @param expectedMs how long the order is expected to take.
    */
   orderModel(order: ControllerOrder, expectedMs: number): Promise<OrderResult> {
     this.pendingModelOrders += 1;
@@ -272,14 +291,16 @@
     });
   }
 
-  /** Adapters that serve now and stay. */
+  /** Returns the adapters that serve now and are not being unloaded. */
   servingAdapters(): string[] {
     return [...this.adapters.keys()].filter(
       key => !this.unloadingAdapters.has(key),
     );
   }
 
-  /** Models that serve now: the one being loaded doesn't yet. */
+  /**
+   * Returns the models that serve now, without those being loaded or unloaded.
+   */
   servingModels(): string[] {
     return [...this.models].filter(
       name => name !== this.loadingModel && name !== this.unloadingModel,
@@ -299,7 +320,7 @@
       held.usedMs = clock.nowMs();
       return true;
     }
-    // While a model comes or goes, a runner turns all other orders away.
+    // A runner refuses all other orders while it loads or unloads a model.
     if (this.isBusy) return false;
     if (!(await this.freeAdapterSlot(adapterSlots))) return false;
     const outcome = await this.sendOrder({
@@ -321,20 +342,18 @@
   }
 
   /**
-   * Unloads adapters, longest unused first, until one place is free.
+   * Unloads the least recently used adapters until a slot is free.
    *
-   * One in use stays: its runner would refuse all other orders until the runs
-   * are over, and callers of other adapters and models would wait that long.
+   * An adapter in use is kept: its runner would refuse all other orders until
+   * the requests are complete, and requests for other adapters and models would
+   * wait that long.
    */
   private async freeAdapterSlot(adapterSlots: number): Promise<boolean> {
     const {clock} = this.options;
     const byUse = [...this.adapters.entries()].sort(
       ([, a], [, b]) => a.usedMs - b.usedMs,
     );
-    for (const [
-      key,
-      {model, adapter, usedMs, isUnconfirmed: isDoubtful},
-    ] of byUse) {
+    for (const [key, {model, adapter, usedMs, isUnconfirmed}] of byUse) {
       if (this.adapters.size < adapterSlots) return true;
       if (this.unloadingAdapters.has(key)) continue;
       if (this.options.isAdapterInUse(key)) continue;
@@ -345,12 +364,13 @@
         adapter,
         reason: 'longest-unused',
       });
-      // The answer is the same for one that went at once, which counts as an
-      // order, and for one that was never there, which doesn't. Counted wrong,
-      // all later orders were refused.
-      if (isDoubtful) this.isOrderNumberUncertain = true;
-      // One in use goes when its runs are over. Its place counts as taken until
-      // a report shows it gone; a load into it would overfill the runner.
+      // The answer is the same for an adapter that was unloaded at once, which
+      // counts as an order, and for one that was never there, which doesn't.
+      // With a wrong count all later orders were refused.
+      if (isUnconfirmed) this.isOrderNumberUncertain = true;
+      // An adapter in use is unloaded after its requests. Its slot counts as
+      // occupied until a report shows that the adapter is gone, because a load
+      // into it would overfill the runner.
       if (outcome === 'done') this.adapters.delete(key);
       if (outcome === 'begun') this.unloadingAdapters.add(key);
       if (outcome !== 'done') return false;
@@ -399,19 +419,21 @@
       return 'begun';
     }
     if (outcome === 'holds') {
-      // An adapter that goes at once is answered like this, and counts.
+      // The unload of an adapter at once has this answer and counts as an
+      // order.
       if (order.kind === 'unload' && order.adapter !== undefined) {
         this.orderNumber = Math.max(this.orderNumber, expectedOrderNumber + 1);
       }
       return 'done';
     }
     if (outcome === 'fenced') lease.noteFenced();
-    // Another runner has the address; this one has ended.
+    // Another runner uses the address, so this runner has stopped.
     if (outcome === 'other-runner') this.addressReusedMs = clock.nowMs();
     if (outcome === 'conflict') {
       this.backOffAfterConflict();
-      // It changed nothing. Counted as an order, each try put off the report
-      // that tells the right number, and no order came about for five seconds.
+      // The order changed nothing. When a refused order counted, each attempt
+      // delayed the report with the correct number, and no order succeeded for
+      // five seconds.
       this.lastPossibleEffectMs = previousEffectMs;
     }
     return outcome === 'unknown' ? 'unknown' : 'refused';
--- a/packages/banyanfold-gateway/src/placement/standbyRoster.ts
+++ b/packages/banyanfold-gateway/src/placement/standbyRoster.ts
@@ -1,17 +1,18 @@
 import {chooseStandbys, type StandbyCandidate} from '@banyanfold/decisions';
 
-/** Who stands by is chosen anew at this interval. */
+/** Interval at which the standbys are selected again. */
 const SELECTION_INTERVAL_MS = 500;
 /**
- * A holder gives the lease away only after the others have heard for some
- * exchanges whether they stand by: else another that doesn't would get it.
+ * Time for which a new holder remains a standby, so that the other entries
+ * receive the selection in some exchanges first. Otherwise the lease could go
+ * to an entry that is not a standby.
  */
 const SETTLE_MS = 1_000;
 
-/** The entries that stand by for the lease, as their holder chooses them. */
+/** Entries that stand by for the lease, as selected by the holder. */
 export class StandbyRoster {
   private standbys: readonly string[] = [];
-  /** Among whom they were chosen. */
+  /** Addresses of the entries that took part in the selection. */
   private candidates: ReadonlySet<string> = new Set();
   private selectedMs = Number.NEGATIVE_INFINITY;
   private heldTerm: {term: number; sinceMs: number} | undefined;
@@ -22,10 +23,11 @@
   ) {}
 
   /**
-   * The entries that stand by, in the order in which they take the lease.
+   * Returns the standbys in the order in which they take over the lease.
    *
-   * @param requesters the entries for which it is asked.
-   * @param term of the lease; a holder of a new one keeps it for a while.
+   * @param requesters the entries that receive the list.
+   * @param term term of the lease; the holder remains a standby early in a new
+   *   term.
    */
   current(
     requesters: readonly StandbyCandidate[],
@@ -34,7 +36,8 @@
   ): string[] {
     if (this.heldTerm?.term !== term) this.heldTerm = {term, sinceMs: nowMs};
     const isDue = nowMs - this.selectedMs >= SELECTION_INTERVAL_MS;
-    // An entry that has just come would be told to leave, and to come back.
+    // A new entry would otherwise be told to leave the group and to rejoin
+    // shortly after.
     const hasUnknownRequester = requesters.some(
       ({address}) => !this.candidates.has(address),
     );
--- a/packages/banyanfold-gateway/src/placement/toCopyRunner.ts
+++ b/packages/banyanfold-gateway/src/placement/toCopyRunner.ts
@@ -2,7 +2,10 @@
 import type {EngineSpec} from '../types.js';
 import type {RunnerController} from './runnerController.js';
 
-/** A runner as the plan of copies sees it, but for the requests under way. */
+/**
+ * Converts a runner to the input of the placement planner, without the requests
+ * in progress.
+ */
 export function toCopyRunner(
   controller: RunnerController,
   engine: EngineSpec,
--- a/packages/banyanfold-gateway/src/runners/heldCopies.ts
+++ b/packages/banyanfold-gateway/src/runners/heldCopies.ts
@@ -1,34 +1,40 @@
 import type {CopyChanges} from '../placement/copyRevisions.js';
 import type {FleetView} from '../view/fleetView.js';
 
-/** What one runner holds, as the holder of orders last told. */
+/** What one runner holds according to the last report of the holder. */
 interface ReportedCopies {
   models: ReadonlySet<string>;
   adapters: Set<string>;
-  /** No adapter can be fetched now. */
+  /** Whether no adapter can be fetched at the moment. */
   isBusy: boolean;
 }
 
-/** @example adapterKey('m1', 'a3') // 'm1/a3' */
+/**
+ * Returns the key of an adapter in sets and messages.
+ *
+ * @example adapterKey('m1', 'a3') // 'm1/a3'
+ */
 export function adapterKey(model: string, adapter: string): string {
   return `${model}/${adapter}`;
 }
 
-/** Reports are asked for twice a second and told four times a second. */
+/** Covers one report interval (0.5 s) and one exchange interval (0.25 s). */
 const ABSENCE_MS = 800;
 
-/** Until another holder may order, and a load is over. */
+/** Time until another holder can send orders and a load is complete. */
 const NO_HOLDER_DELAY_MS = 4_000;
 
 /**
- * What runners hold. The holder of orders knows first, because it gives them;
- * registrations tell the same a heartbeat later and serve while none is heard.
+ * Tracks which models and adapters each runner holds. The holder of the lease
+ * knows first because it sends the orders. Registrations contain the same one
+ * heartbeat later and are used while no holder answers.
  */
 export class HeldCopies {
   private readonly reported = new Map<string, ReportedCopies>();
   /**
-   * By runner and copy. A request looks at every runner; one key of both, built for
-   * each look, took 226 of the 4,626 ms that a holder was busy within 10 s.
+   * Expiry times by runner and copy. Each request checks every runner; building
+   * a combined key for each check took 226 of the 4,626 ms that a holder was
+   * busy within 10 s.
    */
   private readonly absentUntilMs = new Map<string, Map<string, number>>();
   private copyExpectedMs = new Map<string, number>();
@@ -37,27 +43,29 @@
   constructor(
     private readonly view: FleetView,
     private readonly nowMs: () => number,
-    /** What the holder told counts this long without its saying it again. */
+    /** How long a report of the holder stays valid without being renewed. */
     private readonly freshMs: number,
   ) {}
 
-  /** Since the holder last told; infinite before it did. */
+  /**
+   * Time since the last report of the holder; infinite before the first one.
+   */
   get ageMs(): number {
     return this.nowMs() - this.reportedMs;
   }
 
   holdsModel(runnerId: string, model: string): boolean {
     if (this.isAbsent(runnerId, model)) return false;
-    const told = this.reportedCopies(runnerId);
-    if (told) return told.models.has(model);
+    const held = this.reportedCopies(runnerId);
+    if (held) return held.models.has(model);
     return this.registeredModel(runnerId, model) !== undefined;
   }
 
   holdsAdapter(runnerId: string, model: string, adapter: string): boolean {
     const key = adapterKey(model, adapter);
     if (this.isAbsent(runnerId, key)) return false;
-    const told = this.reportedCopies(runnerId);
-    if (told) return told.adapters.has(key);
+    const held = this.reportedCopies(runnerId);
+    if (held) return held.adapters.has(key);
     return (
       this.registeredModel(runnerId, model)?.adapters.includes(adapter) ?? false
     );
@@ -69,8 +77,9 @@
   }
 
   /**
-   * Until a copy serves; undefined when the holder has told nothing of it. While
-   * no holder is heard nobody orders a copy, and callers who wait for one leave.
+   * Estimated time until a copy serves; undefined if the holder has not
+   * reported on it. Without a holder no copy is ordered, and requests that wait
+   * for one time out.
    */
   copyDelayMs(model: string): number | undefined {
     if (this.ageMs === Number.POSITIVE_INFINITY) return undefined;
@@ -88,9 +97,10 @@
   }
 
   /**
-   * Takes in what the holder told.
+   * Applies the changes that the holder reported.
    *
-   * @param ageMs since the holder said it; a relay passes its word on later.
+   * @param ageMs time since the holder reported them, which is longer through a
+   *   relay.
    */
   applyChanges({isWhole, runners, gone}: CopyChanges, ageMs = 0): void {
     this.reportedMs = this.nowMs() - ageMs;
@@ -105,7 +115,9 @@
     }
   }
 
-  /** It has started again and holds what it registers, nothing of before. */
+  /**
+   * Drops what the runner held before its restart; its registration applies.
+   */
   handleRestart(runnerId: string): void {
     this.reported.delete(runnerId);
   }
@@ -117,9 +129,9 @@
   }
 
   /**
-   * A runner said that something isn't there after all. What is told or
-   * registered may go on naming it for a while, and a request would be sent to
-   * the same runner again and again.
+   * Records that a runner refused a request because it doesn't hold the copy.
+   * Reports and registrations may still list the copy for a while, and requests
+   * would be routed to the same runner repeatedly.
    */
   markAbsent(runnerId: string, model: string, adapter?: string): void {
     const copy = adapter === undefined ? model : adapterKey(model, adapter);
@@ -132,9 +144,9 @@
 
   private isAbsent(runnerId: string, copy: string): boolean {
     const copies = this.absentUntilMs.get(runnerId);
-    const untilMs = copies?.get(copy);
-    if (copies === undefined || untilMs === undefined) return false;
-    if (this.nowMs() < untilMs) return true;
+    const absentUntilMs = copies?.get(copy);
+    if (copies === undefined || absentUntilMs === undefined) return false;
+    if (this.nowMs() < absentUntilMs) return true;
     copies.delete(copy);
     if (copies.size === 0) this.absentUntilMs.delete(runnerId);
     return false;
--- a/packages/banyanfold-gateway/src/runners/outcomeMeter.ts
+++ b/packages/banyanfold-gateway/src/runners/outcomeMeter.ts
@@ -1,11 +1,11 @@
-/** Answers of one runner, whole ones and others. */
+/** Numbers of complete responses and of failures of one runner. */
 export interface RunnerOutcome {
   runnerId: string;
   successes: number;
   failures: number;
 }
 
-/** Counts answers by runner between two exchanges with the holder. */
+/** Counts outcomes by runner between two exchanges with the holder. */
 export class OutcomeMeter {
   private byRunner = new Map<string, RunnerOutcome>();
 
@@ -15,7 +15,7 @@
     else outcome.failures += 1;
   }
 
-  /** Adds what another entry has counted. */
+  /** Adds the counts of another entry. */
   add(outcomes: readonly RunnerOutcome[]): void {
     for (const {runnerId, ...counts} of outcomes) {
       const outcome = this.getOrCreate(runnerId);
@@ -24,7 +24,7 @@
     }
   }
 
-  /** Takes what was counted, and begins anew. */
+  /** Returns the counts and resets them. */
   take(): RunnerOutcome[] {
     const taken = [...this.byRunner.values()];
     this.byRunner = new Map();
--- a/packages/banyanfold-gateway/src/runners/promptGate.ts
+++ b/packages/banyanfold-gateway/src/runners/promptGate.ts
@@ -1,41 +1,51 @@
 import type {Clock} from '@banyanfold/core';
 import {decideWindow, type StreamPace} from '@banyanfold/decisions';
 
-/** One request that waits for its prompt's turn. */
+/** A request that waits for a permit. */
 interface Waiter {
   priority: number;
   startedMs: number;
-  /** True when it may go, false when it is over. */
+  /**
+   * Called with true when the permit is granted, with false when it is released
+   * before.
+   */
   resolve(isGranted: boolean): void;
 }
 
 interface GateState {
   window: number;
-  /** When each prompt that is unread there was sent. */
+  /**
+   * Permits of the prompts that were sent and are not read yet, oldest first.
+   */
   unread: Set<{sentMs: number}>;
-  /** By priority, within one in order of coming. */
-  waiting: Waiter[];
+  /** By priority, then by start of the request. */
+  waiters: Waiter[];
 }
 
-/** A turn that was given, or that is waited for. */
+/** A permit to send a prompt, granted or pending. */
 export interface PromptPermit {
-  /** Settles with false when it was given back before it came. */
+  /** Resolves to false if the permit is released before it is granted. */
   granted: Promise<boolean>;
-  /** Takes the turn now, over the window, if it has not come. */
+  /** Grants a pending permit now, beyond the window. */
   grantNow(): void;
-  /** The prompt is read, or will not be. Idempotent. */
+  /**
+   * Releases the permit once the prompt is read or the request has ended.
+   * Idempotent.
+   */
   release(): void;
 }
 
-/** In ms; half of the prompts at busy runners are read within 0.1 s, few after 1 s. */
+/**
+ * In ms. Busy runners read half of the prompts within 0.1 s, and few after 1 s.
+ */
 const STALL_MS = 800;
-/** Before any stream has told of its pauses; a window grows and shrinks fast. */
+/** Used until a stream reports its pauses. A window adapts quickly. */
 const INITIAL_WINDOW = 4;
 
 /**
- * Lets an entry have only so many prompts unread at each runner; the rest wait
- * here, the most urgent first, where their callers can still be refused or go to
- * another runner.
+ * Limits the number of unread prompts that an entry has at each runner. The
+ * other requests wait here, the most urgent first, where they can still be
+ * refused or go to another runner.
  */
 export class PromptGate {
   private readonly states = new Map<string, GateState>();
@@ -43,49 +53,51 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Waits for a turn at a runner.
+   * Requests a permit at a runner.
    *
-   * @param startedMs when the request came; of two alike the older one goes first.
+   * @param startedMs start of the request. Of two requests with the same
+   *   priority the older one goes first.
    */
   acquire(runnerId: string, priority: number, startedMs: number): PromptPermit {
     const state = this.getOrCreate(runnerId);
-    const turn = {sentMs: 0};
-    let isOver = false;
-    let waiting: Waiter | undefined;
-    const come = new Promise<boolean>(resolve => {
-      const settle = (mayGo: boolean) => {
-        turn.sentMs = this.clock.nowMs();
-        if (mayGo) state.unread.add(turn);
-        resolve(mayGo);
+    const sent = {sentMs: 0};
+    let isReleased = false;
+    let waiter: Waiter | undefined;
+    const granted = new Promise<boolean>(resolve => {
+      const settle = (isGranted: boolean) => {
+        sent.sentMs = this.clock.nowMs();
+        if (isGranted) state.unread.add(sent);
+        resolve(isGranted);
       };
-      waiting = {priority, startedMs, resolve: settle};
-      const after = state.waiting.findIndex(
+      waiter = {priority, startedMs, resolve: settle};
+      const laterIndex = state.waiters.findIndex(
         other =>
           other.priority > priority ||
           (other.priority === priority && other.startedMs > startedMs),
       );
-      const at = after < 0 ? state.waiting.length : after;
-      state.waiting.splice(at, 0, waiting);
+      const index = laterIndex < 0 ? state.waiters.length : laterIndex;
+      state.waiters.splice(index, 0, waiter);
     });
-    const giveBack = () => {
-      if (isOver) return;
-      isOver = true;
-      if (!state.unread.delete(turn)) this.removeWaiter(state, waiting!);
+    const release = () => {
+      if (isReleased) return;
+      isReleased = true;
+      if (!state.unread.delete(sent)) this.removeWaiter(state, waiter!);
       this.grantNext(state);
     };
-    const goAhead = () => {
-      const at = state.waiting.indexOf(waiting!);
-      if (at < 0) return;
-      state.waiting.splice(at, 1);
-      waiting!.resolve(true);
+    const grantNow = () => {
+      const index = state.waiters.indexOf(waiter!);
+      if (index < 0) return;
+      state.waiters.splice(index, 1);
+      waiter!.resolve(true);
     };
     this.grantNext(state);
-    return {granted: come, release: giveBack, grantNow: goAhead};
+    return {granted, release, grantNow};
   }
 
   /**
-   * Its window is full of prompts that it has not read for long: it hangs, or
-   * its queue is long. What waits for it would leave with them.
+   * Whether the window of a runner is full and its oldest prompt has been
+   * unread for long. The runner hangs or has a long queue, and requests that
+   * wait for it would time out.
    */
   isStalled(runnerId: string): boolean {
     const state = this.states.get(runnerId);
@@ -100,32 +112,32 @@
     this.grantNext(state);
   }
 
-  /** Forgets runners that are gone and that nobody waits for. */
+  /** Drops the state of removed runners that no request uses. */
   prune(isKnown: (runnerId: string) => boolean): void {
-    for (const [runnerId, {unread, waiting}] of this.states) {
-      const isInUse = unread.size > 0 || waiting.length > 0;
+    for (const [runnerId, {unread, waiters}] of this.states) {
+      const isInUse = unread.size > 0 || waiters.length > 0;
       if (!isInUse && !isKnown(runnerId)) this.states.delete(runnerId);
     }
   }
 
   private grantNext(state: GateState): void {
     while (state.unread.size < Math.floor(state.window)) {
-      const next = state.waiting.shift();
+      const next = state.waiters.shift();
       if (!next) return;
       next.resolve(true);
     }
   }
 
-  private removeWaiter(state: GateState, waiting: Waiter): void {
-    const at = state.waiting.indexOf(waiting);
-    if (at >= 0) state.waiting.splice(at, 1);
-    waiting.resolve(false);
+  private removeWaiter(state: GateState, waiter: Waiter): void {
+    const index = state.waiters.indexOf(waiter);
+    if (index >= 0) state.waiters.splice(index, 1);
+    waiter.resolve(false);
   }
 
   private getOrCreate(runnerId: string): GateState {
     let state = this.states.get(runnerId);
     if (!state) {
-      state = {window: INITIAL_WINDOW, unread: new Set(), waiting: []};
+      state = {window: INITIAL_WINDOW, unread: new Set(), waiters: []};
       this.states.set(runnerId, state);
     }
     return state;
--- a/packages/banyanfold-gateway/src/runners/runnerConnections.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerConnections.ts
@@ -4,15 +4,15 @@
 import type {GatewayOptions} from '../options.js';
 
 const NEVER_MS = 0;
-/** A runner's word of its idle timeout is kept to with this much to spare. */
+/** Safety margin before the idle timeout that a runner announces. */
 const KEEP_ALIVE_MARGIN_MS = 300;
 
-/** One connection to a runner; it carries one request at a time. */
+/** One connection to a runner, which carries one request at a time. */
 export class RunnerConnection {
   readonly client: Client;
-  /** True once the connection has ever been established. */
+  /** True once the connection has been established. */
   established = false;
-  /** True when it was used for a request before this one. */
+  /** Whether the connection carried a request before the current one. */
   isReused = false;
   closed = false;
   idleSinceMs = 0;
@@ -47,13 +47,15 @@
   }
 
   /**
-   * Whether the runner closed the connection in order, asked at its end.
+   * Whether the runner closed the connection cleanly. Call it when the response
+   * has ended.
    *
-   * An answer without a length is whole only then. When the last bytes and a
-   * reset arrive together, the runtime reports an ordinary end, and the caller
-   * would get the first part as a whole answer. A connection that was reset
-   * refuses a write at once, while one that the other side closed in order
-   * still takes it, so a blank line, which servers skip, tells them apart.
+   * Only a clean close shows that a response without a length is complete. When
+   * the last bytes and a reset arrive together, the runtime reports an ordinary
+   * end, and a truncated response would be forwarded as complete. A connection
+   * that was reset fails a write at once, while one that the other side closed
+   * cleanly still accepts it. A blank line, which servers skip, therefore
+   * distinguishes the two.
    */
   async endedCleanly(): Promise<boolean> {
     const {socket} = this;
@@ -78,12 +80,12 @@
     if (this.closed) return;
     this.closed = true;
     void this.client.destroy().catch(() => {
-      // Destroying fails only for a client that is destroyed already.
+      // `destroy` fails only for a client that is already destroyed.
     });
   }
 }
 
-/** Kept connections to each runner address. */
+/** Pool of keep-alive connections by runner address. */
 export class RunnerConnections {
   private readonly idle = new Map<string, RunnerConnection[]>();
   opened = 0;
@@ -93,7 +95,7 @@
     private readonly options: GatewayOptions,
   ) {}
 
-  /** The connection that rested longest, or a new one. */
+  /** Returns the connection that has been idle longest, or a new one. */
   acquire(address: string): RunnerConnection {
     const nowMs = this.clock.nowMs();
     const resting = this.idle.get(address);
@@ -116,7 +118,7 @@
     return new RunnerConnection(address, this.options);
   }
 
-  /** Gives a connection back after a whole answer. */
+  /** Returns a connection to the pool after a complete response. */
   release(address: string, connection: RunnerConnection): void {
     if (connection.closed) return;
     connection.isReused = true;
@@ -126,7 +128,7 @@
     else this.idle.set(address, [connection]);
   }
 
-  /** Closes what rests longer than connections are kept. */
+  /** Closes connections that have been idle for longer than the timeout. */
   closeIdle(): void {
     const nowMs = this.clock.nowMs();
     for (const [address, resting] of this.idle) {
--- a/packages/banyanfold-gateway/src/runners/runnerRateLimits.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerRateLimits.ts
@@ -8,19 +8,22 @@
 import type {AnswerFacts} from '../types.js';
 import {RateUseMeter, type RateUse} from './rateUseMeter.js';
 
-/** What a runner last named, as entries tell each other. */
+/** The last known limit of a runner, as entries exchange it. */
 export interface KnownRateLimit {
   runnerId: string;
-  /** Requests a second; undefined once its answers name none. */
+  /** Requests per second; undefined after a response without a limit. */
   perSecond?: number;
-  /** Since the answer that named it, in ms. */
+  /** Time since the response with this limit, in ms. */
   ageMs: number;
 }
 
-/** The same from the holder, with what the fleet made of it. */
+/** A limit as the holder reports it, with the use by all entries. */
 export type FleetRateLimit = Omit<KnownRateLimit, 'runnerId'> & FleetRateUse;
 
-/** Whether a request may be sent to a runner; counted where that is limited. */
+/**
+ * Decision on a request to a runner. The request counts if the runner is
+ * limited.
+ */
 export type RatePermit = {kind: 'unlimited'} | RateLimitDecision;
 
 export interface RunnerRateLimitsOptions {
@@ -28,40 +31,47 @@
   logger: Logger;
   metrics: Metrics;
   random(): number;
-  /** Entries at work, this one included. */
+  /** Number of running entries, including this one. */
   entries(): number;
 }
 
-/** Half of what is asked for within half a second counts. */
+/** Time constant of the exponential average of the request rate. */
 const SMOOTHING_MS = 500;
-/** With less, nobody would find out that a runner takes more again. */
+/** Minimum rate, so that an increase of the limit is noticed. */
 const MIN_PER_SECOND = 0.25;
-/** That a runner names no limit any more is told to the others for so long. */
+/** How long a lifted limit is reported to the other entries. */
 const LIFTED_RETENTION_MS = 10_000;
-/** Told back by the holder, what this entry told it seems up to so much younger. */
+/**
+ * A limit that the holder reports back may seem up to this much more recent.
+ */
 const ECHO_TOLERANCE_MS = 1_000;
-/** A limit that no answer has named for so long is not kept to any more. */
+/** A limit that no response has confirmed for this long is dropped. */
 const LIMIT_RETENTION_MS = 30_000;
 /**
- * What the others were asked for fades no faster than this when less is told: a
- * holder that has just begun has heard of few.
+ * The rate of requests at the other entries decays no faster than this when the
+ * reported rate is lower, because a new holder has received few reports.
  */
 const OTHERS_DECAY_MS = 2_000;
 const MAX_OTHERS_DECAY_STEP_MS = 500;
 
 interface LimitedRunner {
   perSecond: number | undefined;
-  /** When the answer that named it came. */
+  /** When the response with this limit arrived. */
   receivedMs: number;
-  /** The answer came here, or to an entry that this one relays for. */
+  /**
+   * Whether the response arrived here or at an entry that this one relays for.
+   */
   isDirect: boolean;
   requested: DecayingRate;
-  /** The same as the holder counts it, which is when it is reported. */
+  /** The same as the holder counts it, that is, at the time of the report. */
   reportedRequests: DecayingRate;
   unreportedRequests: number;
-  /** Sent since the last report was made. */
+  /** Requests sent since the last report. */
   unreportedUse: number;
-  /** Sent and in the report that is under way or was answered last. */
+  /**
+   * Requests sent and contained in the report that is in flight or was
+   * acknowledged last.
+   */
   reportedUse: number;
   fleetUse: FleetUse | undefined;
 }
@@ -74,43 +84,44 @@
 }
 
 /**
- * Limits that runners have named on the requests that they take a second from all
- * entries together, as this entry keeps to them.
+ * Enforces at this entry the limits that runners set on the requests per second
+ * from all entries together.
  */
 export class RunnerRateLimits {
-  /** Also holds what entries that this one relays for have counted. */
+  /** Also contains the counts of entries that this one relays for. */
   readonly meter = new RateUseMeter();
   private readonly limited = new Map<string, LimitedRunner>();
 
   constructor(private readonly options: RunnerRateLimitsOptions) {}
 
   /**
-   * Takes in what the head of an answer says, or no longer says. An answer may lie
-   * unread for seconds while this process stands still, so that one without a limit
-   * tells of no later time than when its request was sent.
+   * Records the limit in the headers of a response, or its absence. A response
+   * may stay unread for seconds while this process is frozen, so a response
+   * without a limit counts from when its request was sent.
    */
   recordAnswer(runnerId: string, facts: AnswerFacts, sentMs: number): void {
     const {requestsPerSecond, signed, notExecuted, fromOtherRunner} = facts;
     if (fromOtherRunner || !(signed || notExecuted)) return;
-    const isNamed = requestsPerSecond !== undefined;
-    const heardMs = isNamed ? this.options.clock.nowMs() : sentMs;
+    const hasLimit = requestsPerSecond !== undefined;
+    const receivedMs = hasLimit ? this.options.clock.nowMs() : sentMs;
     this.updateLimit(
       runnerId,
-      {perSecond: requestsPerSecond, receivedMs: heardMs},
+      {perSecond: requestsPerSecond, receivedMs},
       true,
     );
   }
 
-  /** Takes in what an entry that this one relays for has heard. */
+  /** Records a limit that an entry has received for which this one relays. */
   addRelayed({runnerId, perSecond, ageMs}: KnownRateLimit): void {
-    const heardMs = this.options.clock.nowMs() - ageMs;
-    this.updateLimit(runnerId, {perSecond, receivedMs: heardMs}, true);
+    const receivedMs = this.options.clock.nowMs() - ageMs;
+    this.updateLimit(runnerId, {perSecond, receivedMs}, true);
   }
 
   /**
-   * Asks to send a request; what is admitted counts as sent until it is given back.
+   * Decides whether a request may be sent. An admitted request counts as sent
+   * unless it is released.
    *
-   * @example limits.take('i-1').kind // 'unlimited', where it names no limit
+   * @example limits.acquire('i-1').kind // 'unlimited', if the runner sets no limit
    */
   acquire(runnerId: string): RatePermit {
     const limited = this.limited.get(runnerId);
@@ -133,7 +144,7 @@
     return decision;
   }
 
-  /** What was admitted has not been sent after all. */
+  /** Cancels an admitted request that was not sent. */
   release(runnerId: string): void {
     const limited = this.limited.get(runnerId);
     if (!limited) return;
@@ -142,21 +153,22 @@
   }
 
   /**
-   * What this entry tells the holder of the limits that it knows. Told back, what the
-   * holder told would be younger by the time of an exchange.
+   * Returns the limits to report to the holder. Limits that the holder reported
+   * are left out, because reported back they would seem more recent by the time
+   * of an exchange.
    */
   reportedLimits(): KnownRateLimit[] {
     const nowMs = this.options.clock.nowMs();
     return [...this.limited]
-      .filter(([, {isDirect: isFirstHand}]) => isFirstHand)
-      .map(([runnerId, {perSecond, receivedMs: heardMs}]) => ({
+      .filter(([, {isDirect}]) => isDirect)
+      .map(([runnerId, {perSecond, receivedMs}]) => ({
         runnerId,
         perSecond,
-        ageMs: nowMs - heardMs,
+        ageMs: nowMs - receivedMs,
       }));
   }
 
-  /** Takes the report for the next exchange. */
+  /** Returns the counts for the next exchange and marks them as reported. */
   takeReports(): RateUse[] {
     const nowMs = this.options.clock.nowMs();
     for (const limited of this.limited.values()) {
@@ -169,10 +181,11 @@
   }
 
   /**
-   * Takes in what the holder has told.
+   * Applies the limits that the holder has reported.
    *
-   * @param ageMs since it was known.
-   * @param isRelayed a relay told, whose word may not hold the last report yet.
+   * @param ageMs time since the holder made the report.
+   * @param isRelayed whether a relay forwarded the report, which then may not
+   *   contain the last counts of this entry yet.
    */
   applyFleetLimits(
     limits: Readonly<Record<string, FleetRateLimit>>,
@@ -180,71 +193,71 @@
     isRelayed: boolean,
   ): void {
     const {clock} = this.options;
-    const atMs = clock.nowMs() - ageMs;
+    const asOfMs = clock.nowMs() - ageMs;
     for (const [runnerId, limit] of Object.entries(limits)) {
       const {perSecond} = limit;
-      const heardMs = atMs - limit.ageMs;
-      this.updateLimit(runnerId, {perSecond, receivedMs: heardMs}, false);
+      const receivedMs = asOfMs - limit.ageMs;
+      this.updateLimit(runnerId, {perSecond, receivedMs}, false);
       const limited = this.limited.get(runnerId);
       if (!limited) continue;
       if (!isRelayed) limited.reportedUse = 0;
-      const ownAskedPerSecond = limited.reportedRequests.perSecond(atMs);
+      const ownAskedPerSecond = limited.reportedRequests.perSecond(asOfMs);
       limited.fleetUse = {
         used: limit.used,
         othersAskedPerSecond: Math.max(
           limit.askedPerSecond - ownAskedPerSecond,
-          decayedOthersRate(limited, atMs),
+          decayedOthersRate(limited, asOfMs),
         ),
         ownAskedPerSecond,
-        asOfMs: atMs,
+        asOfMs,
       };
     }
   }
 
-  /** A runner that has started again has named nothing yet. */
+  /** Drops the limit of a restarted runner, which has not set one yet. */
   handleRestart(runnerId: string): void {
     this.limited.delete(runnerId);
   }
 
-  /** Forgets runners that are gone, and what was named long ago. */
+  /** Drops removed runners and expired limits. */
   prune(isKnown: (runnerId: string) => boolean): void {
     const nowMs = this.options.clock.nowMs();
-    for (const [runnerId, {perSecond, receivedMs: heardMs}] of this.limited) {
-      const isOver = nowMs - heardMs > limitRetentionMs(perSecond);
-      if (isOver || !isKnown(runnerId)) this.limited.delete(runnerId);
+    for (const [runnerId, {perSecond, receivedMs}] of this.limited) {
+      const isExpired = nowMs - receivedMs > limitRetentionMs(perSecond);
+      if (isExpired || !isKnown(runnerId)) this.limited.delete(runnerId);
     }
   }
 
-  /** The latest answer counts, whoever got it. */
+  /**
+   * Applies a limit if its response is the most recent one, whichever entry
+   * received it.
+   */
   private updateLimit(
     runnerId: string,
-    {
-      perSecond,
-      receivedMs: heardMs,
-    }: Pick<LimitedRunner, 'perSecond' | 'receivedMs'>,
-    isFirstHand: boolean,
+    {perSecond, receivedMs}: Pick<LimitedRunner, 'perSecond' | 'receivedMs'>,
+    isDirect: boolean,
   ): void {
-    const known = this.limited.get(runnerId);
-    if (known ? heardMs <= known.receivedMs : perSecond === undefined) return;
-    const isSame = known?.perSecond === perSecond;
-    const sinceMs = heardMs - (known?.receivedMs ?? 0);
-    if (isSame && !isFirstHand && sinceMs < ECHO_TOLERANCE_MS) return;
-    if (this.options.clock.nowMs() - heardMs > LIMIT_RETENTION_MS) return;
-    const limited = known ?? createLimitedRunner();
-    limited.receivedMs = heardMs;
-    limited.isDirect = isFirstHand;
+    const last = this.limited.get(runnerId);
+    if (last ? receivedMs <= last.receivedMs : perSecond === undefined) return;
+    const isUnchanged = last?.perSecond === perSecond;
+    const newerByMs = receivedMs - (last?.receivedMs ?? 0);
+    if (isUnchanged && !isDirect && newerByMs < ECHO_TOLERANCE_MS) return;
+    if (this.options.clock.nowMs() - receivedMs > LIMIT_RETENTION_MS) return;
+    const limited = last ?? createLimitedRunner();
+    limited.receivedMs = receivedMs;
+    limited.isDirect = isDirect;
     this.limited.set(runnerId, limited);
     if (limited.perSecond === perSecond) return;
     limited.perSecond = perSecond;
     this.options.logger.info('runner-limit', {
       runner: runnerId,
       perSecond: perSecond ?? 'none',
-      ageMs: Math.round(this.options.clock.nowMs() - heardMs),
+      ageMs: Math.round(this.options.clock.nowMs() - receivedMs),
     });
   }
 }
 
-/** How long after an answer what it named, or named no more, is kept. */
+/** How long a limit, or its removal, is kept after the response. */
 export function limitRetentionMs(perSecond: number | undefined): number {
   return perSecond === undefined ? LIFTED_RETENTION_MS : LIMIT_RETENTION_MS;
 }
@@ -264,33 +277,29 @@
 }
 
 function toFleetRateUse(
-  {
-    fleetUse: told,
-    unreportedUse: unreported,
-    reportedUse: reported,
-  }: LimitedRunner,
+  {fleetUse, unreportedUse, reportedUse}: LimitedRunner,
   nowMs: number,
 ) {
-  if (!told) return undefined;
-  const {used, othersAskedPerSecond, ownAskedPerSecond, asOfMs: atMs} = told;
+  if (!fleetUse) return undefined;
+  const {used, othersAskedPerSecond, ownAskedPerSecond, asOfMs} = fleetUse;
   return {
     used,
     askedPerSecond: othersAskedPerSecond + ownAskedPerSecond,
     ownAskedPerSecond,
-    ageMs: nowMs - atMs,
-    untold: unreported + reported,
+    ageMs: nowMs - asOfMs,
+    untold: unreportedUse + reportedUse,
   };
 }
 
-/** What the others were asked for when last told, as far as it counts still. */
-function decayedOthersRate(
-  {fleetUse: told}: LimitedRunner,
-  nowMs: number,
-): number {
-  if (!told) return 0;
-  const sinceMs = Math.min(
-    Math.max(0, nowMs - told.asOfMs),
+/**
+ * Request rate of the other entries from the last report, decayed to the given
+ * time.
+ */
+function decayedOthersRate({fleetUse}: LimitedRunner, nowMs: number): number {
+  if (!fleetUse) return 0;
+  const elapsedMs = Math.min(
+    Math.max(0, nowMs - fleetUse.asOfMs),
     MAX_OTHERS_DECAY_STEP_MS,
   );
-  return told.othersAskedPerSecond * Math.exp(-sinceMs / OTHERS_DECAY_MS);
+  return fleetUse.othersAskedPerSecond * Math.exp(-elapsedMs / OTHERS_DECAY_MS);
 }
--- a/packages/banyanfold-gateway/src/runners/runnerStates.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerStates.ts
@@ -5,16 +5,22 @@
 import {OutcomeMeter} from './outcomeMeter.js';
 import {PriorityMix} from './priorityMix.js';
 
-/** Outcomes older than this say nothing of a runner's state now. */
+/** Older outcomes are not evidence of a runner's current state. */
 const OUTCOME_WINDOW_MS = 4_000;
-/** Engines of today read 38 to 41 thousand prompt tokens a second. */
+/** Current engines read 38,000 to 41,000 prompt tokens per second. */
 const ASSUMED_WORK_PER_SECOND = 40;
-/** With less ahead a first byte tells of the prompt, not of the queue. */
+/**
+ * With less work ahead, the first byte depends on the prompt and not on the
+ * queue.
+ */
 const MIN_RATE_SAMPLE_WORK = 20;
-/** Of one first byte in the pace; some ten follow a change of the queue. */
+/**
+ * Weight of one sample in the average; about ten samples follow a change of the
+ * queue.
+ */
 const RATE_SAMPLE_WEIGHT = 0.2;
 const MS_PER_SECOND = 1000;
-/** A fault of a runner lasts some seconds; then it is tried again. */
+/** Faults of a runner last some seconds; after this time it is tried again. */
 const EJECTION_MS = 2_500;
 const EJECTION_OPTIONS = {
   minOutcomes: 5,
@@ -26,14 +32,17 @@
   ejectionMs: EJECTION_MS,
 };
 
-/** What a request means to the runner that it was sent to. */
+/** The load that a request puts on its runner. */
 export interface StartedWork {
   work: Work;
-  /** 0 is the most urgent; a plain service has no order of its own. */
+  /**
+   * 0 is the most urgent. Undefined for a plain service, which has no
+   * priorities.
+   */
   priority?: number;
-  /** Undefined at a plain service. */
+  /** Undefined for a plain service. */
   model?: string;
-  /** As model and name, joined by a slash. */
+  /** Model and adapter name, joined by a slash. */
   adapter?: string;
 }
 
@@ -53,17 +62,17 @@
   pauseMs: number;
   ejectedUntilMs: number;
   outcomes: Outcome[];
-  /** Requests under way by the adapter and by the model that they use. */
+  /** Requests in progress by the adapter and by the model that they use. */
   adaptersInUse: Map<string, number>;
   modelsInUse: Map<string, number>;
   workPerSecond: number;
 }
 
-/** What this process has seen of each runner's load and health. */
+/** Load and health of each runner as observed by this process. */
 export class RunnerStates {
   private readonly states = new Map<string, RunnerState>();
   private readonly urgency = new PriorityMix();
-  /** What runners answered here, for the holder to judge them by. */
+  /** Outcomes to report to the holder, which ejects runners by them. */
   readonly outcomes = new OutcomeMeter();
 
   constructor(
@@ -72,7 +81,10 @@
     private readonly options: GatewayOptions,
   ) {}
 
-  /** Work open there: this process's own and, as last heard, its peers'. */
+  /**
+   * Open work on a runner: that of this process and the last reported work of
+   * its peers.
+   */
   openWork(runnerId: string): number {
     const state = this.states.get(runnerId);
     return state ? state.openWork + state.peersWork : 0;
@@ -86,19 +98,25 @@
     return open;
   }
 
-  /** It stood out by its failures; taken only where all others did too. */
+  /**
+   * Whether the runner is ejected because of its failures. It is used only if
+   * all other runners are ejected too.
+   */
   isEjected(runnerId: string): boolean {
     const ejectedUntilMs = this.states.get(runnerId)?.ejectedUntilMs ?? 0;
     return ejectedUntilMs > this.clock.nowMs();
   }
 
-  /** No connection came about lately; a request would only come back. */
+  /**
+   * Whether a recent connection attempt failed, so that a request would fail
+   * too.
+   */
   isUnreachable(runnerId: string): boolean {
     const untilMs = this.states.get(runnerId)?.unreachableUntilMs ?? 0;
     return untilMs > this.clock.nowMs();
   }
 
-  /** Adapters that this process's requests use, by runner. */
+  /** Adapters that requests of this process use, by runner. */
   ownAdaptersInUse(): Record<string, string[]> {
     const inUse: Record<string, string[]> = {};
     for (const [runnerId, {adaptersInUse}] of this.states) {
@@ -107,7 +125,7 @@
     return inUse;
   }
 
-  /** Requests of this process under way, by runner and model. */
+  /** Requests of this process in progress, by runner and model. */
   ownModelsInUse(): Record<string, Record<string, number>> {
     const inUse: Record<string, Record<string, number>> = {};
     for (const [runnerId, {modelsInUse}] of this.states) {
@@ -128,8 +146,9 @@
   }
 
   /**
-   * Work at a runner that is read before a request of this priority. Peers tell
-   * no priorities; what arrives here is taken to be mixed like what they send.
+   * Work on a runner that is read before a request of this priority. Peers
+   * report no priorities, so their work is assumed to have the same
+   * distribution as the work that arrives here.
    */
   workAhead(runnerId: string, priority: number): number {
     return (
@@ -137,15 +156,15 @@
     );
   }
 
-  /** How much work a second a runner got through lately. */
+  /** Recent throughput of a runner, in units of work per second. */
   workPerSecond(runnerId: string): number {
     return this.states.get(runnerId)?.workPerSecond ?? ASSUMED_WORK_PER_SECOND;
   }
 
   /**
-   * Its first byte came: the prompt is read.
+   * Records the first byte of a response, which shows that the prompt is read.
    *
-   * @param aheadWork what was open there when it was sent.
+   * @param aheadWork open work on the runner when the request was sent.
    */
   recordPromptRead(
     runnerId: string,
@@ -162,19 +181,19 @@
       (sampledRate - state.workPerSecond) * RATE_SAMPLE_WEIGHT;
   }
 
-  /** @param wasRead its first byte had come. */
+  /** @param wasRead whether the first byte has arrived. */
   recordEnd(runnerId: string, ended: StartedWork, wasRead: boolean): void {
     const state = this.states.get(runnerId);
     if (!state) return;
     const {read, generate} = ended.work;
-    const left = wasRead ? generate : read + generate;
-    state.openWork = Math.max(0, state.openWork - left);
+    const remainingWork = wasRead ? generate : read + generate;
+    state.openWork = Math.max(0, state.openWork - remainingWork);
     state.openRequests -= 1;
     adjustCount(state.adaptersInUse, ended.adapter, -1);
     adjustCount(state.modelsInUse, ended.model, -1);
   }
 
-  /** What the other entries have open, by runner. */
+  /** Sets the open work and requests of the other entries, by runner. */
   setPeersWork(
     work: Readonly<Record<string, number>>,
     requests: Readonly<Record<string, number>> = {},
@@ -190,13 +209,18 @@
     }
   }
 
-  /** Requests open there: this process's own and, as last heard, its peers'. */
+  /**
+   * Open requests on a runner: those of this process and the last reported ones
+   * of its peers.
+   */
   openRequests(runnerId: string): number {
     const state = this.states.get(runnerId);
     return state ? state.openRequests + state.peersRequests : 0;
   }
 
-  /** A connection couldn't be established; the pause doubles each time. */
+  /**
+   * Records a failed connection attempt. The pause doubles with each failure.
+   */
   markUnreachable(runnerId: string, service: string): void {
     const state = this.getOrCreate(runnerId, service);
     const {unreachablePauseMs, unreachablePauseCapMs} = this.options;
@@ -222,7 +246,7 @@
     state.unreachableUntilMs = 0;
   }
 
-  /** It has started again: what it was set aside for is over. */
+  /** Clears the failures and ejections from before a restart of the runner. */
   handleRestart(runnerId: string): void {
     const state = this.states.get(runnerId);
     if (!state) return;
@@ -233,9 +257,9 @@
   }
 
   /**
-   * The holder has found runners that fail more than their peers.
+   * Applies the ejections that the holder has reported.
    *
-   * @param ageMs since it told.
+   * @param ageMs time since the holder reported them.
    */
   applyEjections(forMs: Readonly<Record<string, number>>, ageMs: number): void {
     const toldAtMs = this.clock.nowMs() - ageMs;
@@ -245,7 +269,7 @@
     }
   }
 
-  /** Compares runners of a service and sets aside those that stand out. */
+  /** Compares the runners of each service and ejects outliers. */
   ejectOutliers(): void {
     const nowMs = this.clock.nowMs();
     const outcomes: RunnerOutcomes[] = [];
@@ -271,7 +295,7 @@
     }
   }
 
-  /** Forgets runners that are gone and carry nothing. */
+  /** Drops the state of removed runners without open requests. */
   prune(isKnown: (runnerId: string) => boolean): void {
     for (const [runnerId, {openRequests}] of this.states) {
       if (openRequests === 0 && !isKnown(runnerId)) {
--- a/packages/banyanfold-gateway/src/view/fleetView.ts
+++ b/packages/banyanfold-gateway/src/view/fleetView.ts
@@ -9,9 +9,11 @@
 import {RouteTable} from './routeTable.js';
 
 /** How long the last heartbeat number of a removed runner is kept. */
-const REMOVAL_RETENTION_MS = 600_000;
+const REMOVED_TTL_MS = 600_000;
 
-/** What has changed; a listener of one kind need not look at all runners. */
+/**
+ * Describes what has changed, so that a listener need not check all runners.
+ */
 export type ViewChange =
   | {kind: 'config'}
   | {kind: 'caught-up'}
@@ -19,29 +21,32 @@
 
 type ChangeListener = (change: ViewChange) => void;
 
-/** A heartbeat of one life of a runner. */
+/** Identifies a heartbeat of one start of a runner. */
 type Heartbeat = Pick<RunnerRegistration, 'bornMs' | 'heartbeatNumber'>;
 
 interface RemovedRunner extends Heartbeat {
   removedMs: number;
 }
 
-/** What this process believes of the configuration and the runners. */
+/** The configuration and the runners as this process knows them. */
 export class FleetView implements Omit<FleetHandlers, 'isRelayed'> {
   private config: FleetConfig | undefined;
   private routeTable = new RouteTable([]);
-  /** Undefined where callers carry no keys. */
+  /** Undefined if requests carry no API keys. */
   organisations: OrganisationDirectory | undefined;
   private readonly runners = new Map<string, RunnerRegistration>();
   private readonly removed = new Map<string, RemovedRunner>();
   private readonly listeners = new Set<ChangeListener>();
   private readonly restartListeners = new Set<(runnerId: string) => void>();
   private isCaughtUp = false;
-  /** Of all routes; 0 is the most urgent, and before one is known. */
+  /**
+   * Highest priority number of all routes and organisations, where 0 is the
+   * most urgent; 0 before a configuration is known.
+   */
   lowestPriority = 0;
-  /** When the version in force was last known to be the newest. */
+  /** When the configuration in force was last confirmed to be the newest. */
   private configConfirmedMs: number | undefined;
-  /** When the runners were last heard of. */
+  /** When the last registration or removal of a runner was received. */
   runnersReadMs = 0;
 
   constructor(
@@ -53,7 +58,9 @@
     return this.config;
   }
 
-  /** Since the version in force was last known to be the newest, in ms. */
+  /**
+   * Time since the configuration in force was last confirmed to be the newest.
+   */
   get configAgeMs(): number | undefined {
     if (this.configConfirmedMs === undefined) return undefined;
     return this.clock.nowMs() - this.configConfirmedMs;
@@ -81,15 +88,18 @@
     );
   }
 
-  /** Called after each change of the view. */
+  /**
+   * Adds a listener for changes of the view. Returns a function that removes
+   * it.
+   */
   onChange(listener: ChangeListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
   /**
-   * A replayed record would bring back a version that was replaced, and
-   * callers would be routed by it; only a higher version is taken.
+   * Applies a configuration with a higher version only. A replayed record would
+   * otherwise restore a replaced version, and requests would be routed by it.
    */
   onConfig(config: FleetConfig): void {
     if (this.config && config.version <= this.config.version) return;
@@ -110,17 +120,20 @@
     this.notifyListeners({kind: 'config'});
   }
 
-  /** Called when a runner has started again under its id. */
+  /**
+   * Adds a listener that is called when a runner has restarted under its id.
+   */
   onRestart(listener: (runnerId: string) => void): void {
     this.restartListeners.add(listener);
   }
 
   /**
-   * A late or replayed heartbeat would revive a runner that left, and requests
-   * would go to whoever has its address now; only a later one counts. Numbers
-   * begin anew with each life of a runner: compared by the number alone, all
-   * heartbeats of one that crashed and came back were left out, and it got no
-   * request until its number had passed the former one.
+   * Applies a heartbeat unless it is stale. A late or replayed heartbeat would
+   * restore a runner that has left, and requests would go to whichever process
+   * has its address now. The numbers restart with each start of a runner: when
+   * only the numbers were compared, all heartbeats of a runner that had crashed
+   * and restarted were ignored, and it got no request until its number exceeded
+   * the previous one.
    */
   onRegistration(registration: RunnerRegistration): void {
     const {runnerId, bornMs, heartbeatNumber} = registration;
@@ -129,7 +142,7 @@
     const last = known ?? this.removed.get(runnerId);
     if (last && !isNewer(registration, last)) return;
     const isRestart = last !== undefined && bornMs !== last.bornMs;
-    // What is leaving never comes back within the same life of a runner.
+    // A runner that is leaving never returns without a restart.
     const wasLeaving = !isRestart && (known?.leaving ?? false);
     const leaving = registration.leaving || wasLeaving;
     this.runners.set(runnerId, {...registration, leaving});
@@ -169,13 +182,16 @@
     this.notifyListeners({kind: 'caught-up'});
   }
 
-  /** The configuration in force was the newest one, now or at that time, in ms. */
+  /**
+   * Records that the configuration in force was the newest one at a time, in
+   * ms.
+   */
   onConfigCurrent(atMs = this.clock.nowMs()): void {
     if (!this.config) return;
     this.configConfirmedMs = Math.max(this.configConfirmedMs ?? atMs, atMs);
   }
 
-  /** The version in force was known to be the newest within that time. */
+  /** Whether the configuration in force was confirmed within this time. */
   isConfigConfirmed(withinMs: number): boolean {
     return this.configAgeMs !== undefined && this.configAgeMs <= withinMs;
   }
@@ -185,8 +201,8 @@
   }
 
   private pruneRemovals(nowMs: number): void {
-    for (const [runnerId, {removedMs: atMs}] of this.removed) {
-      if (nowMs - atMs > REMOVAL_RETENTION_MS) this.removed.delete(runnerId);
+    for (const [runnerId, {removedMs}] of this.removed) {
+      if (nowMs - removedMs > REMOVED_TTL_MS) this.removed.delete(runnerId);
     }
   }
 }
--- a/packages/banyanfold-gateway/src/view/routeTable.ts
+++ b/packages/banyanfold-gateway/src/view/routeTable.ts
@@ -1,6 +1,6 @@
 import type {RoutePolicy} from '../types.js';
 
-/** Finds the route of a host with the longest prefix of a path. */
+/** Finds the route of a host with the longest matching path prefix. */
 export class RouteTable {
   private readonly byHost = new Map<string, Map<string, RoutePolicy>>();
 
@@ -16,8 +16,8 @@
   }
 
   /**
-   * The path is cut at each slash from its end, so that the cost follows the
-   * length of the path and not the number of routes.
+   * Cuts the path at each slash from the end, so that the cost depends on the
+   * length of the path and not on the number of routes.
    *
    * @example table.find('desk.example', '/claims/1?full=1')?.name
    */
