--- a/packages/banyanfold-gateway/src/__tests__/controlRates.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/controlRates.test.ts
@@ -6,8 +6,12 @@
 
 const OPTIONS = {tickMs: 50, intervalMs: 500, awaitedIntervalMs: 120};
 
-/** Reports asked for over some seconds, by runner. */
-function play(runners: number, perSecond: number, forMs: number): number[] {
+/** Simulates polling and returns the number of reports requested by runner. */
+function simulatePolling(
+  runners: number,
+  perSecond: number,
+  forMs: number,
+): number[] {
   const lastRequestedMs = new Map<number, number>();
   const counts = Array.from({length: runners}, () => 0);
   for (let nowMs = 0; nowMs < forMs; nowMs += OPTIONS.tickMs) {
@@ -25,20 +29,21 @@
 }
 
 describe('dueReports', () => {
-  it('asks each of a few runners at the interval', () => {
-    expect(play(6, 50, 5_000)).toEqual([10, 10, 10, 10, 10, 10]);
+  it('polls each of a few runners at the interval', () => {
+    expect(simulatePolling(6, 50, 5_000)).toEqual([10, 10, 10, 10, 10, 10]);
   });
 
-  it('keeps to the rate with many runners, and asks all alike', () => {
-    // Load: a VM with 0.12 cores has 26 runners. Asked all at once twice a
-    // second, they kept it from all else for a while, and renewals of its lease waited.
-    const counts = play(26, 20, 10_400);
+  it('keeps to the rate with many runners and polls them evenly', () => {
+    // A VM with 0.12 cores may have 26 runners. When all were queried at once
+    // twice a second, all other work was delayed, including the renewals of the
+    // lease.
+    const counts = simulatePolling(26, 20, 10_400);
     const total = counts.reduce((sum, count) => sum + count, 0);
     expect(total).toBeLessThanOrEqual(20 * 10.4 + 1);
     expect(Math.max(...counts) - Math.min(...counts)).toBeLessThanOrEqual(1);
   });
 
-  it('asks at once where an order is to be over', () => {
+  it('polls at once when an order should be complete', () => {
     const states = [
       {key: 'done', lastRequestedMs: 800, isAwaited: true},
       {key: 'idle', lastRequestedMs: 800, isAwaited: false},
@@ -49,7 +54,7 @@
 });
 
 describe('urgentIntervalMs', () => {
-  it('lets all entries together ask about as often, however many', () => {
+  it('keeps the total request rate of all entries about constant', () => {
     expect(urgentIntervalMs(3, DEFAULT_OPTIONS)).toBe(60);
     expect(urgentIntervalMs(16, DEFAULT_OPTIONS)).toBe(120);
     expect(urgentIntervalMs(730, DEFAULT_OPTIONS)).toBe(250);
@@ -57,7 +62,7 @@
 });
 
 describe('leaseTtlMs', () => {
-  it('gives a small VM longer, within what callers of adapters bear', () => {
+  it('is longer on a small VM, up to a maximum', () => {
     expect(leaseTtlMs(1.35, 1_000)).toBe(1_000);
     expect(leaseTtlMs(0.513, 1_000)).toBe(1_000);
     expect(leaseTtlMs(0.25, 1_000)).toBe(2_000);
--- a/packages/banyanfold-gateway/src/__tests__/copyRevisions.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/copyRevisions.test.ts
@@ -8,7 +8,7 @@
 }
 
 describe('CopyRevisions', () => {
-  it('tells an entry only what it has not heard', () => {
+  it('sends an entry only the changes that it has missed', () => {
     const revisions = new CopyRevisions('e1');
     revisions.update([runner('r1', 'a'), runner('r2')]);
     const first = revisions.since(undefined);
@@ -24,38 +24,38 @@
     expect(revisions.since(second)).toMatchObject({runners: [], gone: ['r2']});
   });
 
-  it('tells all to one that heard another holder', () => {
+  it('sends the full list to an entry that followed another holder', () => {
     const revisions = new CopyRevisions('e2');
     revisions.update([runner('r1', 'a')]);
     const other: KnownRevision = {epoch: 'e1', revision: 1};
     expect(revisions.since(other)).toMatchObject({isWhole: true});
   });
 
-  it('leaves every entry with what the runners hold, whatever it missed', () => {
+  it('brings every entry up to date, whichever changes it missed', () => {
     const state = fc.dictionary(
       fc.constantFrom('r1', 'r2', 'r3'),
       fc.subarray(['a', 'b']),
     );
     const steps = fc.array(fc.tuple(state, fc.boolean()), {maxLength: 40});
     fc.assert(
-      fc.property(steps, played => {
+      fc.property(steps, history => {
         const revisions = new CopyRevisions('e1');
-        const heard = new Map<string, string[]>();
+        const received = new Map<string, string[]>();
         let known: KnownRevision | undefined;
-        for (const [held, isHeard] of played) {
+        for (const [held, isDelivered] of history) {
           const runners = Object.entries(held).map(([id, models]) =>
             runner(id, ...models),
           );
           revisions.update(runners);
-          if (!isHeard) continue;
-          const told = revisions.since(known);
-          if (told.isWhole) heard.clear();
-          for (const id of told.gone) heard.delete(id);
-          for (const {runnerId, models} of told.runners) {
-            heard.set(runnerId, models);
+          if (!isDelivered) continue;
+          const changes = revisions.since(known);
+          if (changes.isWhole) received.clear();
+          for (const id of changes.gone) received.delete(id);
+          for (const {runnerId, models} of changes.runners) {
+            received.set(runnerId, models);
           }
-          known = told;
-          expect(Object.fromEntries(heard)).toEqual({...held});
+          known = changes;
+          expect(Object.fromEntries(received)).toEqual({...held});
         }
       }),
     );
--- a/packages/banyanfold-gateway/src/__tests__/fleetOutcomes.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/fleetOutcomes.test.ts
@@ -27,8 +27,11 @@
   outcomes = new FleetOutcomes({clock, logger, view});
 });
 
-/** Reports of ten entries, each of which saw one answer of every runner. */
-function noteEntries(failures: Readonly<Record<string, number>>): void {
+/**
+ * Records reports of ten entries, each of which saw one response of every
+ * runner.
+ */
+function recordEntries(failures: Readonly<Record<string, number>>): void {
   for (let entry = 0; entry < 10; entry++) {
     outcomes.record(
       RUNNERS.map(runnerId => {
@@ -44,9 +47,9 @@
 }
 
 describe('FleetOutcomes', () => {
-  // Guards against callers that fail at a runner which no entry alone can tell.
-  it('names a runner that fails, from one answer at each entry', async () => {
-    noteEntries({r2: 6});
+  // Guards against failed requests at a runner that no single entry can detect.
+  it('ejects a failing runner based on one response at each entry', async () => {
+    recordEntries({r2: 6});
     expect(outcomes.ejections()).toEqual({r2: 2_000});
     await clock.advance(1_500);
     expect(outcomes.ejections()).toEqual({r2: 500});
@@ -54,23 +57,23 @@
     expect(outcomes.ejections()).toEqual({});
   });
 
-  // Guards against a fleet that leaves out the runners of a fault that is everywhere.
-  it('names none while all fail alike', () => {
-    noteEntries(Object.fromEntries(RUNNERS.map(id => [id, 6])));
+  // Guards against ejecting the runners when a fault affects all of them.
+  it('ejects no runner while all fail equally', () => {
+    recordEntries(Object.fromEntries(RUNNERS.map(id => [id, 6])));
     expect(outcomes.ejections()).toEqual({});
   });
 
-  it('names two of five at most', () => {
-    noteEntries({r1: 9, r2: 8});
+  it('ejects at most two of five runners', () => {
+    recordEntries({r1: 9, r2: 8});
     expect(Object.keys(outcomes.ejections())).toEqual(['r1', 'r2']);
-    noteEntries({r3: 9, r4: 9});
+    recordEntries({r3: 9, r4: 9});
     expect(Object.keys(outcomes.ejections())).toHaveLength(2);
   });
 
-  it('forgets answers of some seconds ago', async () => {
-    noteEntries({r2: 6});
+  it('ignores outcomes that are some seconds old', async () => {
+    recordEntries({r2: 6});
     await clock.advance(6_000);
-    noteEntries({});
+    recordEntries({});
     expect(outcomes.ejections()).toEqual({});
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/fleetView.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/fleetView.test.ts
@@ -39,16 +39,16 @@
   };
 }
 
-describe('the view of the fleet', () => {
-  it('takes no version back', () => {
+describe('FleetView', () => {
+  it('ignores an older version', () => {
     const view = createView();
     view.onConfig(config(7));
     view.onConfig(config(4));
     expect(view.currentConfig?.version).toBe(7);
   });
 
-  // Guards against a version of a peer that counts as the newest one.
-  it('takes no version for confirmed because it was heard of', async () => {
+  // Guards against treating a version received from a peer as the newest one.
+  it('does not confirm a version because it was received', async () => {
     const clock = new VirtualClock();
     const view = createView(clock);
     await clock.advance(5_000);
@@ -58,7 +58,7 @@
     expect(view.isConfigConfirmed(2_000)).toBe(true);
   });
 
-  it('keeps a leaving runner leaving when an older heartbeat comes late', () => {
+  it('keeps a runner leaving when an older heartbeat arrives late', () => {
     const view = createView();
     view.onRegistration(registration(4));
     view.onRegistration(registration(6, {leaving: true}));
@@ -67,7 +67,7 @@
     expect(view.runner('r1')?.leaving).toBe(true);
   });
 
-  it('revives a removed runner only by a newer heartbeat', () => {
+  it('restores a removed runner only by a newer heartbeat', () => {
     const view = createView();
     view.onRegistration(registration(4));
     view.onRemoval('r1');
@@ -77,13 +77,14 @@
     expect(view.runner('r1')).toBeDefined();
   });
 
-  it('takes a runner that starts again under its id for a new one', () => {
-    // Callers were refused though the runner was back: it crashed and started
-    // again, its heartbeats began at 1, and all counted as late. A late one of
-    // the former life must not bring that back either.
+  it('treats a runner that restarts under its id as a new one', () => {
+    // The heartbeat numbers of a runner that crashed and restarted begin at 1.
+    // When they were treated as stale, requests were refused although the
+    // runner was back. A late heartbeat from before the restart must not
+    // restore the old state either.
     const view = createView();
-    const restarted: string[] = [];
-    view.onRestart(runnerId => restarted.push(runnerId));
+    const restartedIds: string[] = [];
+    view.onRestart(runnerId => restartedIds.push(runnerId));
     view.onRegistration(registration(40, {bornMs: 100, leaving: true}));
     view.onRegistration(registration(1, {bornMs: 200}));
     expect(view.runner('r1')).toMatchObject({bornMs: 200, leaving: false});
@@ -94,7 +95,7 @@
     expect(view.runner('r1')).toBeUndefined();
     view.onRegistration(registration(1, {bornMs: 300}));
     expect(view.runner('r1')).toBeDefined();
-    expect(restarted).toEqual(['r1', 'r1']);
+    expect(restartedIds).toEqual(['r1', 'r1']);
   });
 
   it('is ready when it knows a configuration and the runners', () => {
@@ -106,7 +107,7 @@
   });
 });
 
-describe('the routes', () => {
+describe('RouteTable', () => {
   const route = (name: string, pathPrefix: string) => ({
     name,
     host: 'desk.example',
--- a/packages/banyanfold-gateway/src/__tests__/leaseHolder.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/leaseHolder.test.ts
@@ -68,10 +68,10 @@
   },
 };
 
-const FROZEN_MS = 4_000;
-const LONG_AFTER_MS = 2_500;
+const STALL_MS = 4_000;
+const AFTER_STALL_MS = 2_500;
 
-/** A clock of a process that stands still for a while. */
+/** The clock of a process that stalls for a while. */
 class StallingClock extends VirtualClock {
   stalledMs = 0;
 
@@ -80,11 +80,11 @@
   }
 }
 
-function holderAt(clock: VirtualClock): LeaseHolder {
-  return holderWith(clock, {} as RunnerControl).holder;
+function createHolder(clock: VirtualClock): LeaseHolder {
+  return createHolderAndView(clock, {} as RunnerControl).holder;
 }
 
-function holderWith(
+function createHolderAndView(
   clock: VirtualClock,
   control: RunnerControl,
 ): {holder: LeaseHolder; view: FleetView} {
@@ -136,8 +136,8 @@
   };
 }
 
-/** Whether the holder tells an entry to stand by for the lease. */
-function isToldToStandBy(
+/** Whether the holder selects an entry as a standby. */
+function isSelectedAsStandby(
   holder: LeaseHolder,
   entry: string,
   processorShare: number,
@@ -146,44 +146,48 @@
   return output.kind === 'told' && output.standbys.includes(entry);
 }
 
-describe('Holder', () => {
-  it('takes a runner whose report tells of a new life for an empty one', async () => {
-    // Callers would be sent to models that aren't there: the runner crashed and
-    // started again under its id, and its report says so before a heartbeat does.
-    // A late report of the life before must not bring its copies back.
+describe('LeaseHolder', () => {
+  it('treats a runner whose report shows a restart as empty', async () => {
+    // A runner crashes and restarts under its id, and its report shows this
+    // before a heartbeat does. Without detection, requests would be routed to
+    // models that are not there. A late report from before the restart must not
+    // restore its copies.
     const clock = new VirtualClock();
-    const former = {
+    const oldReport = {
       bornMs: 100,
       models: [{name: 'm1', version: 1, adapters: []}],
     };
-    const current = {bornMs: 200, models: []};
-    let said: object = former;
+    const newReport = {bornMs: 200, models: []};
+    let currentReport: object = oldReport;
     const control = {
-      report: async () => ok({...EMPTY_REPORT, ...said}),
+      report: async () => ok({...EMPTY_REPORT, ...currentReport}),
     } as unknown as RunnerControl;
-    const {holder, view} = holderWith(clock, control);
+    const {holder, view} = createHolderAndView(clock, control);
     view.onConfig(CONFIG);
     holder.start();
     view.onRegistration(REGISTRATION);
-    const told = async (next: object) => {
-      said = next;
+    const reportedModels = async (report: object) => {
+      currentReport = report;
       await clock.advance(DEFAULT_OPTIONS.reportIntervalMs);
       const output = holder.exchange(inputOf(OWN, LARGE));
       if (output.kind !== 'told') throw new Error('not told');
       return output.copies.runners.map(({models}) => models);
     };
-    expect(await told(former)).toEqual([['m1']]);
-    expect(await told(current)).toEqual([[]]);
-    expect(await told(former)).toEqual([[]]);
+    expect(await reportedModels(oldReport)).toEqual([['m1']]);
+    expect(await reportedModels(newReport)).toEqual([[]]);
+    expect(await reportedModels(oldReport)).toEqual([[]]);
     holder.stop();
   });
 });
 
 // Guards against a holder that has no time left to answer: with thousands of
-// runners each heartbeat of one took as long as all others together.
-describe('Holder, of a heartbeat', () => {
-  it('looks at the runner alone that it comes from', () => {
-    const {holder, view} = holderWith(new VirtualClock(), {} as RunnerControl);
+// runners, the heartbeat of one took as long as those of all others together.
+describe('LeaseHolder, on a heartbeat', () => {
+  it('checks only the runner that sent it', () => {
+    const {holder, view} = createHolderAndView(
+      new VirtualClock(),
+      {} as RunnerControl,
+    );
     view.onConfig(CONFIG);
     holder.start();
     view.onRegistration(REGISTRATION);
@@ -195,14 +199,14 @@
   });
 });
 
-describe('Holder.exchange', () => {
-  // Guards against a holder that has no time left for its lease: each exchange of
-  // hundreds of entries went through all of thousands of runners.
-  it('goes through the runners once for many entries', async () => {
+describe('LeaseHolder.exchange', () => {
+  // Guards against a holder that has no time left to renew its lease: each
+  // exchange of hundreds of entries iterated over thousands of runners.
+  it('iterates over the runners once for many entries', async () => {
     const report = {...EMPTY_REPORT, bornMs: REGISTRATION.bornMs};
     const control = {report: async () => ok(report)};
     const clock = new VirtualClock();
-    const {holder, view} = holderWith(
+    const {holder, view} = createHolderAndView(
       clock,
       control as unknown as RunnerControl,
     );
@@ -210,62 +214,62 @@
     holder.start();
     view.onRegistration(REGISTRATION);
     await clock.advance(DEFAULT_OPTIONS.reportIntervalMs);
-    const lookedAt = vi.spyOn(RunnerController.prototype, 'servingModels');
+    const servingModels = vi.spyOn(RunnerController.prototype, 'servingModels');
     for (let entry = 0; entry < 100; entry++) {
       holder.exchange(inputOf(`e${entry}:7`, LARGE));
     }
-    expect(lookedAt.mock.calls.length).toBeLessThanOrEqual(2);
-    lookedAt.mockRestore();
+    expect(servingModels.mock.calls.length).toBeLessThanOrEqual(2);
+    servingModels.mockRestore();
     holder.stop();
   });
 
-  // Guards against a holder that was frozen while it went through its runners, and
-  // told of no change at them for many times as long.
-  it('tells of new copies soon after it stood still', async () => {
+  // Guards against a holder that stalled during a pass over its runners and
+  // then reported no changes for many times as long.
+  it('reports new copies soon after a stall', async () => {
     const clock = new StallingClock();
     let models: object[] = [];
     const {bornMs} = REGISTRATION;
     const control = {
       report: async () => ok({...EMPTY_REPORT, bornMs, models}),
     } as unknown as RunnerControl;
-    const {holder, view} = holderWith(clock, control);
+    const {holder, view} = createHolderAndView(clock, control);
     view.onConfig(CONFIG);
     holder.start();
     view.onRegistration(REGISTRATION);
     await clock.advance(DEFAULT_OPTIONS.reportIntervalMs);
-    const stall = vi.spyOn(RunnerController.prototype, 'servingModels');
-    stall.mockImplementationOnce(() => {
-      clock.stalledMs = FROZEN_MS;
+    const servingModels = vi.spyOn(RunnerController.prototype, 'servingModels');
+    servingModels.mockImplementationOnce(() => {
+      clock.stalledMs = STALL_MS;
       return [];
     });
     holder.exchange(inputOf(OWN, LARGE));
     models = [{name: 'm1', version: 1, adapters: []}];
-    await clock.advance(LONG_AFTER_MS);
+    await clock.advance(AFTER_STALL_MS);
     const output = holder.exchange(inputOf(OWN, LARGE));
-    stall.mockRestore();
+    servingModels.mockRestore();
     holder.stop();
     if (output.kind !== 'told') throw new Error('not told');
     expect(output.copies.runners).toMatchObject([{models: ['m1']}]);
   });
 
-  it('lets an entry stand by that has just come', async () => {
-    // No process joins and leaves the group by turns. An entry comes between two
-    // choices of who stands by; told that it doesn't, it would leave the group,
-    // and come back with the next choice.
+  it('selects an entry that has just appeared', async () => {
+    // Guards against a process that joins and leaves the group repeatedly. An
+    // entry that appears between two selections and is not selected would leave
+    // the group and rejoin at the next selection.
     const clock = new VirtualClock();
-    const holder = holderAt(clock);
-    expect(isToldToStandBy(holder, OWN, LARGE)).toBe(true);
+    const holder = createHolder(clock);
+    expect(isSelectedAsStandby(holder, OWN, LARGE)).toBe(true);
     await clock.advance(10);
-    expect(isToldToStandBy(holder, 'new:7', LARGE)).toBe(true);
+    expect(isSelectedAsStandby(holder, 'new:7', LARGE)).toBe(true);
   });
 
-  it('gives the lease away only after the others have heard', async () => {
+  it('gives up the lease only after the others know the standbys', async () => {
     const clock = new VirtualClock();
-    const holder = holderAt(clock);
-    isToldToStandBy(holder, 'large:7', LARGE);
-    expect(isToldToStandBy(holder, OWN, SMALL)).toBe(true);
+    const holder = createHolder(clock);
+    isSelectedAsStandby(holder, 'large:7', LARGE);
+    expect(isSelectedAsStandby(holder, OWN, SMALL)).toBe(true);
     await clock.advance(1_000);
-    isToldToStandBy(holder, 'large:7', LARGE);
-    expect(isToldToStandBy(holder, OWN, SMALL)).toBe(false);
+    isSelectedAsStandby(holder, 'large:7', LARGE);
+    expect(isSelectedAsStandby(holder, OWN, SMALL)).toBe(false);
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/leaseManager.model.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/leaseManager.model.test.ts
@@ -11,117 +11,118 @@
 
 const EVENTS = [
   'freeze',
-  'thaw',
+  'resume',
   'down',
   'up',
-  'cut',
-  'heal',
-  'stand-aside',
-  'stand-by',
-  'copy',
+  'disconnect',
+  'reconnect',
+  'leave-group',
+  'rejoin-group',
+  'backup',
   'restore',
 ] as const;
 
 type StoreState = 'up' | 'down';
 
-/** Generations of one era of the store; they are dealt again in the next. */
+/** Generations per era of the store; the next era assigns them again. */
 const GENERATIONS_PER_ERA = 1_000;
 
-/** The store's side: one partition, dealt to one member at a time. */
+/** The store, which assigns one lease to one member at a time. */
 class FakeLeaseStore {
   state: StoreState = 'up';
   generation = 0;
   owner: string | undefined;
   private era = 0;
-  private heardMs = new Map<string, number>();
-  private saved: Pick<FakeLeaseStore, 'generation' | 'owner'> & {
-    heardMs: Map<string, number>;
-  } = {generation: 0, owner: undefined, heardMs: new Map()};
-  readonly cutOff = new Set<string>();
+  private lastSeenMs = new Map<string, number>();
+  private backup: Pick<FakeLeaseStore, 'generation' | 'owner'> & {
+    lastSeenMs: Map<string, number>;
+  } = {generation: 0, owner: undefined, lastSeenMs: new Map()};
+  readonly disconnected = new Set<string>();
 
   constructor(private readonly clock: VirtualClock) {}
 
-  sideOf(member: string): LeaseStore {
+  storeFor(member: string): LeaseStore {
     const unreachable = () =>
       err(new BanyanfoldError('no-answer', 'down', {step: 's', peer: 'store'}));
-    const isOut = () => this.state === 'down' || this.cutOff.has(member);
+    const isUnavailable = () =>
+      this.state === 'down' || this.disconnected.has(member);
     return {
       join: async () => {
-        if (isOut()) return unreachable();
-        this.dropSilent();
-        if (!this.heardMs.has(member)) this.generation += 1;
-        this.heardMs.set(member, this.clock.nowMs());
-        // Dealt anew among the members, as some stores do when one joins.
-        [this.owner] = [...this.heardMs.keys()].sort();
+        if (isUnavailable()) return unreachable();
+        this.removeExpired();
+        if (!this.lastSeenMs.has(member)) this.generation += 1;
+        this.lastSeenMs.set(member, this.clock.nowMs());
+        // Reassigns the lease among the members, as some stores do on a join.
+        [this.owner] = [...this.lastSeenMs.keys()].sort();
         const owns = this.owner === member;
         const generation = this.era * GENERATIONS_PER_ERA + this.generation;
         return ok({generation, owns});
       },
       leave: async () => {
-        if (isOut()) return unreachable();
-        this.drop(member);
+        if (isUnavailable()) return unreachable();
+        this.remove(member);
         return ok(undefined);
       },
       owner: async () => {
-        if (isOut()) return unreachable();
-        this.dropSilent();
+        if (isUnavailable()) return unreachable();
+        this.removeExpired();
         return ok(this.owner);
       },
     };
   }
 
-  copy(): void {
-    const {generation, owner, heardMs} = this;
-    this.saved = {generation, owner, heardMs: new Map(heardMs)};
+  createBackup(): void {
+    const {generation, owner, lastSeenMs} = this;
+    this.backup = {generation, owner, lastSeenMs: new Map(lastSeenMs)};
   }
 
-  /** Comes back from the copy; what was dealt since is dealt again. */
+  /** Restores the backup; generations assigned since are assigned again. */
   restore(): void {
     this.era += 1;
-    this.generation = this.saved.generation;
-    this.owner = this.saved.owner;
-    this.heardMs = new Map(this.saved.heardMs);
+    this.generation = this.backup.generation;
+    this.owner = this.backup.owner;
+    this.lastSeenMs = new Map(this.backup.lastSeenMs);
   }
 
-  private dropSilent(): void {
-    for (const [member, atMs] of this.heardMs) {
-      if (this.clock.nowMs() - atMs > TTL_MS) this.drop(member);
+  private removeExpired(): void {
+    for (const [member, atMs] of this.lastSeenMs) {
+      if (this.clock.nowMs() - atMs > TTL_MS) this.remove(member);
     }
   }
 
-  private drop(member: string): void {
-    if (!this.heardMs.delete(member)) return;
+  private remove(member: string): void {
+    if (!this.lastSeenMs.delete(member)) return;
     this.generation += 1;
     if (this.owner === member) this.owner = undefined;
   }
 }
 
-/** A process whose timers stand still while it is frozen. */
+/** A process whose timers stop while it is frozen. */
 class Process {
   isFrozen = false;
   frozenMs = 0;
-  readonly keeper: LeaseManager;
+  readonly manager: LeaseManager;
   readonly logger = new MemoryLogger();
-  private held: Array<() => void> = [];
+  private pendingCallbacks: Array<() => void> = [];
 
   constructor(
     readonly name: string,
-    world: World,
+    world: Simulation,
     fenced: boolean,
   ) {
     const {clock, store} = world;
-    this.keeper = new LeaseManager({
+    this.manager = new LeaseManager({
       clock: {
         nowMs: () => clock.nowMs() - this.frozenMs,
         wallMs: () => clock.wallMs(),
         setTimer: (delayMs, callback) =>
           clock.setTimer(delayMs, () => {
-            if (this.isFrozen) this.held.push(callback);
+            if (this.isFrozen) this.pendingCallbacks.push(callback);
             else callback();
           }),
       },
       logger: this.logger,
-      store: store.sideOf(name),
+      store: store.storeFor(name),
       address: name,
       ttlMs: TTL_MS,
       leaseMs: LEASE_MS,
@@ -131,23 +132,23 @@
       queryFormerHolder: async (address, generation) => {
         const former = world.processes.find(p => p.name === address);
         if (!former || former.isFrozen) return undefined;
-        const isOutOfTouch = former.keeper.yieldTo(generation);
+        const isOutOfTouch = former.manager.yieldTo(generation);
         return {agoMs: 0, upMs: clock.nowMs(), isOver: isOutOfTouch};
       },
       handOver: async handover =>
         world.processes.find(
-          p => p !== this && !p.isFrozen && p.keeper.takeOver(handover),
+          p => p !== this && !p.isFrozen && p.manager.takeOver(handover),
         )?.name,
     });
   }
 
-  thaw(): void {
+  resume(): void {
     this.isFrozen = false;
-    for (const callback of this.held.splice(0)) callback();
+    for (const callback of this.pendingCallbacks.splice(0)) callback();
   }
 }
 
-class World {
+class Simulation {
   readonly clock = new VirtualClock();
   readonly store = new FakeLeaseStore(this.clock);
   readonly processes: Process[] = [];
@@ -156,12 +157,12 @@
     for (const name of ['p1', 'p2', 'p3']) {
       this.processes.push(new Process(name, this, fenced));
     }
-    for (const {keeper} of this.processes) keeper.start();
+    for (const {manager} of this.processes) manager.start();
   }
 
   holders(): Process[] {
     return this.processes.filter(
-      p => !p.isFrozen && p.keeper.current().isHolder,
+      p => !p.isFrozen && p.manager.current().isHolder,
     );
   }
 
@@ -175,13 +176,13 @@
   }
 }
 
-describe('the lease on orders', () => {
-  it('goes to one process, and to another when that one is dead', async () => {
-    const world = new World(true);
+describe('LeaseManager', () => {
+  it('assigns the lease to one process, and to another when that one fails', async () => {
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const [first] = world.holders();
     expect(world.holders()).toHaveLength(1);
-    for (const {keeper} of world.processes) keeper.refreshHolder();
+    for (const {manager} of world.processes) manager.refreshHolder();
     await world.run(100);
     first!.isFrozen = true;
     await world.run(TTL_MS * 3);
@@ -189,105 +190,109 @@
     expect(world.holders()).toHaveLength(1);
   });
 
-  it('stays with its holder when other processes start', async () => {
-    // Callers get adapters all the while. VMs are added on a busy day; would
-    // their processes join the group, the store would deal the lease anew, and
-    // whoever got it would have to wait before it may order.
-    const world = new World(true);
+  it('keeps the holder when other processes start', async () => {
+    // VMs are added under load. If their processes joined the group, the store
+    // would reassign the lease, and the new holder would have to wait before it
+    // may send orders. Adapters have to stay available throughout.
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const [first] = world.holders();
     for (const name of ['a1', 'a2', 'a3']) {
       const added = new Process(name, world, true);
       world.processes.push(added);
-      added.keeper.start();
+      added.manager.start();
     }
     await world.run(LEASE_MS, () => expect(world.holders()).toEqual([first]));
     const added = world.processes.at(-1)!;
-    expect(added.keeper.current().holderAddress).toBe(first!.name);
+    expect(added.manager.current().holderAddress).toBe(first!.name);
   });
 
-  it('is told to be vacant once nobody in the group is left', async () => {
-    // A process that stands aside may come back then, and not before: while the
-    // holder lives, each that joins would have the lease dealt anew.
-    const world = new World(true);
+  it('reports a vacant lease once the group is empty', async () => {
+    // A process outside the group may rejoin only when the lease is vacant:
+    // while the holder is alive, each join would make the store reassign the
+    // lease.
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const watcher = new Process('a1', world, true);
-    watcher.keeper.start();
+    watcher.manager.start();
     await world.run(500);
-    const look = async () => {
-      watcher.keeper.refreshHolder();
+    const checkVacant = async () => {
+      watcher.manager.refreshHolder();
       await world.run(50);
-      return watcher.keeper.current().isVacant;
+      return watcher.manager.current().isVacant;
     };
-    expect(await look()).toBe(false);
+    expect(await checkVacant()).toBe(false);
     for (const process of world.processes) process.isFrozen = true;
     await world.run(TTL_MS * 2);
-    expect(await look()).toBe(true);
+    expect(await checkVacant()).toBe(true);
   });
 
-  it('is not used by a holder that wakes up after another one took over', async () => {
-    // Callers would see models come and go: a holder is frozen, another takes
-    // over, and the first one wakes in the middle of its work. The steady clock
-    // stood still for it, so by that alone its lease would seem good.
-    const world = new World(true);
+  it('stops a holder that resumes after another one took over', async () => {
+    // The holder is frozen, another process takes over, and the first one
+    // resumes in the middle of its work. The monotonic clock stopped for it, so
+    // by that clock alone its lease would seem valid, and models would be
+    // loaded and unloaded by two holders.
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const [first] = world.holders();
     first!.isFrozen = true;
     await world.run(4_000);
-    first!.thaw();
-    expect(first!.keeper.current().isHolder).toBe(false);
+    first!.resume();
+    expect(first!.manager.current().isHolder).toBe(false);
   });
 
-  it('stays with the one at work when the holder before it wakes up', async () => {
-    // Callers get adapters all the while. The holder is suspended, another takes
-    // over, and the first wakes; would it join again the store would deal it the
-    // lease, and it would have to wait before it may order.
-    const world = new World(true);
+  it('keeps the current holder when the former holder resumes', async () => {
+    // The holder is suspended, another process takes over, and the first one
+    // resumes. If it rejoined, the store would assign it the lease, and it
+    // would have to wait before it may send orders. Adapters have to stay
+    // available throughout.
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const [first] = world.holders();
     first!.isFrozen = true;
     await world.run(LEASE_MS * 2);
     const [second] = world.holders();
-    first!.thaw();
+    first!.resume();
     await world.run(LEASE_MS, () => expect(world.holders()).toEqual([second]));
-    expect(first!.keeper.current().holderAddress).toBe(second!.name);
+    expect(first!.manager.current().holderAddress).toBe(second!.name);
   });
 
-  // Guards against a process taking the lease back when its link to the store heals.
+  // Guards against a process that takes the lease back when its connection to
+  // the store recovers.
   it.each([true, false])(
-    'stays with the one at work when a process that was cut off comes back (fenced: %s)',
+    'keeps the current holder when a disconnected process reconnects (fenced: %s)',
     async fenced => {
-      const world = new World(fenced);
+      const world = new Simulation(fenced);
       await world.run(LEASE_MS + 500);
       const [first] = world.holders();
-      world.store.cutOff.add(first!.name);
+      world.store.disconnected.add(first!.name);
       await world.run(LEASE_MS * 2 + TTL_MS);
       const second = world.holders().find(p => p !== first);
       expect(second).toBeDefined();
-      world.store.cutOff.delete(first!.name);
+      world.store.disconnected.delete(first!.name);
       await world.run(LEASE_MS * 2, () =>
         expect(world.holders()).toContain(second),
       );
       expect(world.holders()).toEqual([second]);
-      expect(first!.keeper.current().holderAddress).toBe(second!.name);
+      expect(first!.manager.current().holderAddress).toBe(second!.name);
     },
   );
 
-  it('stays with the last holder while the store is out, where tokens are checked', async () => {
-    const fenced = new World(true);
+  it('keeps the last holder during a store outage if tokens are checked', async () => {
+    const fenced = new Simulation(true);
     await fenced.run(LEASE_MS + 500);
     fenced.store.state = 'down';
     await fenced.run(8_000);
     expect(fenced.holders()).toHaveLength(1);
-    const open = new World(false);
-    await open.run(LEASE_MS + 500);
-    open.store.state = 'down';
-    await open.run(8_000);
-    expect(open.holders()).toHaveLength(0);
+    const unfenced = new Simulation(false);
+    await unfenced.run(LEASE_MS + 500);
+    unfenced.store.state = 'down';
+    await unfenced.run(8_000);
+    expect(unfenced.holders()).toHaveLength(0);
   });
 
-  it('logs the loss of the store once, and its return', async () => {
-    const world = new World(true);
+  it('logs a store outage and the recovery once', async () => {
+    const world = new Simulation(true);
     await world.run(LEASE_MS);
     world.store.state = 'down';
     await world.run(4_000);
@@ -299,33 +304,33 @@
     expect(events).toEqual(['lease-renewal-failed', 'lease-renewed']);
   });
 
-  it('goes from a leaving holder to a peer while the store is out', async () => {
-    const world = new World(true);
+  it('hands over from a leaving holder to a peer during a store outage', async () => {
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const [first] = world.holders();
     world.store.state = 'down';
     await world.run(1_000);
-    const before = first!.keeper.current().fencingToken;
-    const released = first!.keeper.release();
+    const before = first!.manager.current().fencingToken;
+    const released = first!.manager.release();
     await world.run(200);
     await released;
     const [next] = world.holders();
     expect(next?.name).not.toBe(first!.name);
-    expect(next!.keeper.current().fencingToken).toBeGreaterThan(before);
-    // Those that still ask the one that leaves are told who has it.
-    expect(first!.keeper.current().holderAddress).toBe(next!.name);
+    expect(next!.manager.current().fencingToken).toBeGreaterThan(before);
+    // Peers that still query the former holder are told the new one.
+    expect(first!.manager.current().holderAddress).toBe(next!.name);
   });
 
-  it('goes to one that stands by when the holder stands aside', async () => {
-    // Orders go on from another process. The holder is too small for the work
-    // and leaves the group in the middle of its orders; the next one waits until
-    // orders of both are a lease apart.
-    const world = new World(true);
+  it('moves to a standby when the holder leaves the group', async () => {
+    // The holder is too small for the work and leaves the group in the middle
+    // of its orders. Orders continue from another process, which waits until
+    // orders of both are one lease apart.
+    const world = new Simulation(true);
     await world.run(LEASE_MS + 500);
     const [first] = world.holders();
-    for (const {keeper} of world.processes) keeper.refreshHolder();
+    for (const {manager} of world.processes) manager.refreshHolder();
     await world.run(100);
-    first!.keeper.setStandby(false);
+    first!.manager.setStandby(false);
     expect(world.holders()).toHaveLength(0);
     await world.run(LEASE_MS - 100);
     expect(world.holders()).toHaveLength(0);
@@ -334,36 +339,37 @@
     expect(world.holders()).not.toContain(first);
   });
 
-  it('comes to one that stood aside, once it is told that no holder is left', async () => {
-    // Orders go on. All that stood by have died, and the store has nobody to deal
-    // the lease to until one that stood aside joins again.
-    const world = new World(true);
+  it('moves to a process that rejoins when no holder is left', async () => {
+    // All standbys have failed, and the store can assign the lease to nobody
+    // until a process rejoins. Orders have to continue then.
+    const world = new Simulation(true);
     await world.run(500);
     const last = world.processes[2]!;
-    last.keeper.setStandby(false);
+    last.manager.setStandby(false);
     await world.run(LEASE_MS);
     for (const process of world.processes.slice(0, 2)) process.isFrozen = true;
     await world.run(TTL_MS * 3);
     expect(world.holders()).toHaveLength(0);
-    last.keeper.setStandby(true);
+    last.manager.setStandby(true);
     await world.run(TTL_MS + LEASE_MS);
     expect(world.holders()).toEqual([last]);
   });
 
-  it('keeps orders of two holders a lease apart where tokens are not checked', async () => {
-    // A runner would obey both. The holder leaves in order, is killed, or goes
-    // silent just after an order, and the next one begins, also one that has just
-    // started; a leaving holder says that it is over, a killed one nothing.
+  it('keeps orders of two holders one lease apart if tokens are not checked', async () => {
+    // A runner would obey both holders. The holder leaves, is killed or goes
+    // silent just after an order, and the next one starts, which may be a
+    // process that has just started. A leaving holder reports that it has
+    // stopped, a killed one doesn't.
     const ends: Array<(p: Process) => void> = [
-      p => void p.keeper.release(),
+      p => void p.manager.release(),
       p => (p.isFrozen = true),
-      p => p.keeper.setStandby(false),
+      p => p.manager.setStandby(false),
     ];
     for (const end of ends) {
-      const world = new World(false);
+      const world = new Simulation(false);
       await world.run(LEASE_MS * 2 + 500);
       const [first] = world.holders();
-      for (const {keeper} of world.processes) keeper.refreshHolder();
+      for (const {manager} of world.processes) manager.refreshHolder();
       await world.run(100);
       end(first!);
       let waitedMs = 0;
@@ -376,23 +382,23 @@
     }
   });
 
-  it('keeps a lease apart when all start anew where tokens are not checked', async () => {
-    // Power is lost and comes back: whoever gets the lease knows of no holder,
-    // but another VM ordered just before.
-    const world = new World(false);
+  it('waits one lease after a full restart if tokens are not checked', async () => {
+    // After a power loss, the new holder knows of no former one, but another VM
+    // may have sent orders just before.
+    const world = new Simulation(false);
     await world.run(LEASE_MS * 2);
     for (const process of world.processes) process.isFrozen = true;
     await world.run(TTL_MS + 100);
     const next = new Process('p0', world, false);
     world.processes.push(next);
-    next.keeper.start();
+    next.manager.start();
     await world.run(LEASE_MS - 200);
     expect(world.holders()).toHaveLength(0);
     await world.run(500);
     expect(world.holders()).toEqual([next]);
   });
 
-  it('never gives two holders one token, nor an older one to a later holder', async () => {
+  it('never assigns the same token to two holders', async () => {
     const event = fc.record({
       kind: fc.constantFrom(...EVENTS),
       process: fc.nat({max: 2}),
@@ -403,32 +409,32 @@
         fc.array(event, {maxLength: 10}),
         fc.boolean(),
         async (events, fenced) => {
-          const world = new World(fenced);
+          const world = new Simulation(fenced);
           const holderOf = new Map<number, string>();
           const check = () => {
-            for (const {name, keeper} of world.holders()) {
-              const {fencingToken} = keeper.current();
+            for (const {name, manager} of world.holders()) {
+              const {fencingToken} = manager.current();
               expect(holderOf.get(fencingToken) ?? name).toBe(name);
               holderOf.set(fencingToken, name);
             }
-            // Without checks at the runners two at a time would both be obeyed.
+            // Runners that don't check tokens would obey two holders at a time.
             if (!fenced) expect(world.holders().length).toBeLessThanOrEqual(1);
           };
-          const acts: Record<string, (p: Process) => void> = {
+          const actions: Record<string, (p: Process) => void> = {
             freeze: p => (p.isFrozen = true),
-            thaw: p => p.thaw(),
+            resume: p => p.resume(),
             down: () => (world.store.state = 'down'),
             up: () => (world.store.state = 'up'),
-            cut: p => void world.store.cutOff.add(p.name),
-            heal: p => void world.store.cutOff.delete(p.name),
-            'stand-aside': p => p.keeper.setStandby(false),
-            'stand-by': p => p.keeper.setStandby(true),
-            copy: () => world.store.copy(),
+            disconnect: p => void world.store.disconnected.add(p.name),
+            reconnect: p => void world.store.disconnected.delete(p.name),
+            'leave-group': p => p.manager.setStandby(false),
+            'rejoin-group': p => p.manager.setStandby(true),
+            backup: () => world.store.createBackup(),
             restore: () => world.store.restore(),
           };
           for (const {kind, process, afterMs} of events) {
             await world.run(afterMs, check);
-            acts[kind]!(world.processes[process]!);
+            actions[kind]!(world.processes[process]!);
             check();
           }
           await world.run(2_000, check);
--- a/packages/banyanfold-gateway/src/__tests__/loadRate.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/loadRate.test.ts
@@ -9,24 +9,25 @@
     expect(rate.remaining(2, 5_050)).toBe(1);
   });
 
-  it('goes on for the next holder with what the one before began', () => {
-    // The weight store would slow all loads down: a holder begins as many as
-    // are allowed and is replaced, and the next one, which has begun none, does
-    // the same within the same window.
-    const former = new LoadRate(5_000, 0);
-    for (let i = 0; i < 10; i++) former.record(0);
+  it('counts the loads of the previous holder for the next one', () => {
+    // Guards against slowing down all loads from the weight store: a holder
+    // starts as many loads as are allowed and is replaced, and the next holder,
+    // which has started none, does the same within the same window.
+    const previous = new LoadRate(5_000, 0);
+    for (let i = 0; i < 10; i++) previous.record(0);
     const next = new LoadRate(5_000, 0);
-    next.restore(former.loadAgesMs(1_000), 70_000);
+    next.restore(previous.loadAgesMs(1_000), 70_000);
     expect(next.remaining(2, 70_100)).toBe(0);
     expect(next.remaining(2, 74_100)).toBe(10);
   });
 
-  it('stays under the bound of the store through two starts within a window', () => {
-    // The store would slow all loads down: a process is stopped and started and
-    // holds the lease at once, with the loads of the one before still counting;
-    // then that one too. Its bound: a tenth and three loads over the rate.
+  it('stays below the bound of the store over two restarts within a window', () => {
+    // Guards against slowing down all loads from the weight store: a process is
+    // restarted twice within a window and holds the lease at once each time,
+    // while the earlier loads still count. The bound of the store is 1.1 times
+    // the rate plus three loads.
     for (const loadsPerSecond of [1.1, 2.1, 8]) {
-      const begun = [0, 100, 200].map((startedMs, i) => {
+      const started = [0, 100, 200].map((startedMs, i) => {
         const rate = new LoadRate(5_000, i === 0 ? 0 : startedMs + 5_000);
         let count = 0;
         while (rate.remaining(loadsPerSecond, startedMs) > 0) {
@@ -35,21 +36,21 @@
         }
         return count;
       });
-      const total = begun.reduce((sum, count) => sum + count, 0);
-      expect(begun[1]).toBeGreaterThan(0);
+      const total = started.reduce((sum, count) => sum + count, 0);
+      expect(started[1]).toBeGreaterThan(0);
       expect(total).toBeLessThanOrEqual(loadsPerSecond * 5 * 1.1 + 3);
     }
   });
 
-  it('begins at the full rate only once it has heard or the window is over', () => {
+  it('allows the full rate only after a sync or a full window', () => {
     const rate = new LoadRate(5_000, 5_000);
     expect(rate.remaining(2, 100)).toBe(2);
     rate.record(100);
     rate.record(100);
     expect(rate.remaining(2, 4_900)).toBe(0);
     expect(rate.remaining(2, 5_200)).toBe(10);
-    const told = new LoadRate(5_000, 5_000);
-    told.restore([1_000, 2_000], 100);
-    expect(told.remaining(2, 200)).toBe(8);
+    const synced = new LoadRate(5_000, 5_000);
+    synced.restore([1_000, 2_000], 100);
+    expect(synced.remaining(2, 200)).toBe(8);
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/rateLimitFleet.ts
+++ b/packages/banyanfold-gateway/src/__tests__/rateLimitFleet.ts
@@ -11,34 +11,36 @@
 const STEP_MS = 10;
 const EXCHANGE_MS = 250;
 const WINDOW_MS = 4_000;
-/** From when on after it was first named a limit holds. */
-const SETTLED_MS = 3_000;
+/** Time after which a limit is known everywhere and has to hold. */
+const SETTLING_MS = 3_000;
 const MS_PER_SECOND = 1000;
 
-export interface RateLimitPlay {
+export interface RateLimitScenario {
   entries: number;
   limitPerSecond: number;
   askedPerSecond: number;
-  forMs: number;
+  durationMs: number;
   random: () => number;
-  /** The runner names its limit until then. */
+  /** Time until which the runner sets its limit. */
   limitedUntilMs?: number;
-  /** Reports and words take an exchange longer, as through a relay. */
+  /**
+   * Whether reports and answers take one exchange longer, as through a relay.
+   */
   isRelayed?: boolean;
-  /** Whether an entry hears nothing and is not heard. */
-  isCut?: (entry: number, nowMs: number) => boolean;
-  /** Whether an entry does nothing at all. */
+  /** Whether an entry is disconnected from the holder. */
+  isDisconnected?: (entry: number, nowMs: number) => boolean;
+  /** Whether an entry is frozen. */
   isFrozen?: (entry: number, nowMs: number) => boolean;
-  /** Whether an entry starts anew at this step. */
+  /** Whether an entry restarts at this step. */
   restarts?: (entry: number, nowMs: number) => boolean;
-  /** Whether another process takes over from the holder at this step. */
+  /** Whether another process becomes the holder at this step. */
   changesHolder?: (nowMs: number) => boolean;
 }
 
 export interface RateLimitOutcome {
-  /** The most that entries which are not cut off sent in a window. */
+  /** Maximum number of requests in a window from entries that are connected. */
   mostInWindow: number;
-  /** Requests a second while the limit held, over what it allowed. */
+  /** Requests per second while the limit held, relative to the limit. */
   usedShare: number;
   /** When each request was sent. */
   sentMs: number[];
@@ -46,13 +48,13 @@
 
 interface Entry {
   limits: RunnerRateLimits;
-  /** In the order in which they reach it. */
-  words: Word[];
+  /** In the order of delivery. */
+  answers: HolderAnswer[];
 }
 
-interface Word {
+interface HolderAnswer {
   atMs: number;
-  toldMs: number;
+  sentMs: number;
   limits: Record<string, FleetRateLimit>;
 }
 
@@ -62,13 +64,16 @@
   uses: RateUse[];
 }
 
-/** Plays requests for one rate-limited runner at entries that share a holder. */
-export async function playRateLimit(
-  play: RateLimitPlay,
+/**
+ * Simulates requests to one rate-limited runner from entries that share a
+ * holder.
+ */
+export async function simulateRateLimit(
+  scenario: RateLimitScenario,
 ): Promise<RateLimitOutcome> {
-  const {entries: count, forMs, random, isRelayed = false} = play;
-  const {limitedUntilMs = Number.POSITIVE_INFINITY} = play;
-  const {isCut = never, isFrozen = never, restarts = never} = play;
+  const {entries: count, durationMs, random, isRelayed = false} = scenario;
+  const {limitedUntilMs = Number.POSITIVE_INFINITY} = scenario;
+  const {isDisconnected = never, isFrozen = never, restarts = never} = scenario;
   const clock = new VirtualClock();
   const logger = new MemoryLogger();
   const metrics = new Metrics();
@@ -80,7 +85,7 @@
       random,
       entries: () => count,
     }),
-    words: [],
+    answers: [],
   });
   const entries = Array.from({length: count}, start);
   let holder = new FleetRateLimits(clock);
@@ -89,7 +94,7 @@
   const sent: Array<{atMs: number; isCounted: boolean}> = [];
 
   const exchange = (entry: Entry, nowMs: number) => {
-    const {limits, words} = entry;
+    const {limits, answers} = entry;
     reports.push({
       atMs: nowMs + delayMs,
       limits: limits.reportedLimits().map(limit => ({
@@ -103,14 +108,14 @@
       holder.recordLimits(report.limits);
       holder.recordUse(report.uses);
     }
-    words.push({
+    answers.push({
       atMs: nowMs + delayMs,
-      toldMs: nowMs,
+      sentMs: nowMs,
       limits: holder.snapshot(),
     });
-    while (words.length > 0 && words[0]!.atMs <= nowMs) {
-      const word = words.shift()!;
-      limits.applyFleetLimits(word.limits, nowMs - word.toldMs, isRelayed);
+    while (answers.length > 0 && answers[0]!.atMs <= nowMs) {
+      const answer = answers.shift()!;
+      limits.applyFleetLimits(answer.limits, nowMs - answer.sentMs, isRelayed);
     }
     limits.prune(() => true);
   };
@@ -124,38 +129,38 @@
       notExecuted: false,
       fromOtherRunner: false,
       encoded: false,
-      requestsPerSecond: isLimited ? play.limitPerSecond : undefined,
+      requestsPerSecond: isLimited ? scenario.limitPerSecond : undefined,
     };
     entry.limits.recordAnswer(RUNNER, facts, nowMs);
   };
 
-  for (let nowMs = 0; nowMs < forMs; nowMs += STEP_MS) {
-    if (play.changesHolder?.(nowMs)) holder = new FleetRateLimits(clock);
+  for (let nowMs = 0; nowMs < durationMs; nowMs += STEP_MS) {
+    if (scenario.changesHolder?.(nowMs)) holder = new FleetRateLimits(clock);
     for (let i = 0; i < count; i++) {
       if (restarts(i, nowMs)) entries[i] = start();
-      if (isCut(i, nowMs) || isFrozen(i, nowMs)) continue;
+      if (isDisconnected(i, nowMs) || isFrozen(i, nowMs)) continue;
       const isDue = (nowMs + i * STEP_MS) % EXCHANGE_MS === 0;
       if (isDue) exchange(entries[i]!, nowMs);
     }
-    let due = (play.askedPerSecond * STEP_MS) / MS_PER_SECOND;
+    let due = (scenario.askedPerSecond * STEP_MS) / MS_PER_SECOND;
     while (due > 0 && random() < due) {
       due -= 1;
-      // Callers are spread unevenly.
+      // Requests are distributed unevenly.
       const at = Math.floor(random() ** 1.3 * count);
       if (isFrozen(at, nowMs)) continue;
-      send(entries[at]!, !isCut(at, nowMs), nowMs);
+      send(entries[at]!, !isDisconnected(at, nowMs), nowMs);
     }
     await clock.advance(STEP_MS);
   }
-  return outcomeOf(sent, play);
+  return outcomeOf(sent, scenario);
 }
 
 function outcomeOf(
   sent: ReadonlyArray<{atMs: number; isCounted: boolean}>,
-  {limitPerSecond, forMs, limitedUntilMs = forMs}: RateLimitPlay,
+  {limitPerSecond, durationMs, limitedUntilMs = durationMs}: RateLimitScenario,
 ): RateLimitOutcome {
   const inForce = sent.filter(
-    ({atMs}) => atMs >= SETTLED_MS && atMs < limitedUntilMs,
+    ({atMs}) => atMs >= SETTLING_MS && atMs < limitedUntilMs,
   );
   const counted = inForce.filter(({isCounted}) => isCounted);
   let mostInWindow = 0;
@@ -164,7 +169,7 @@
     while (counted[first]!.atMs <= atMs - WINDOW_MS) first += 1;
     mostInWindow = Math.max(mostInWindow, i - first + 1);
   }
-  const seconds = (limitedUntilMs - SETTLED_MS) / MS_PER_SECOND;
+  const seconds = (limitedUntilMs - SETTLING_MS) / MS_PER_SECOND;
   return {
     mostInWindow,
     usedShare: inForce.length / (seconds * limitPerSecond),
--- a/packages/banyanfold-gateway/src/__tests__/reportPoller.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/reportPoller.test.ts
@@ -8,22 +8,22 @@
 
 const ANSWER_MS = 20;
 const PROCESSOR_SHARE = 0.5;
-/** A few runners are all asked at once. */
-const FEW = 32;
+/** Number of runners that are all queried at once. */
+const MAX_AT_ONCE = 32;
 
-/** Asks runners of which nothing is known, as a process that just got the lease. */
-function createPlay(runners: number, {awaited = 0} = {}) {
+/** Polls unknown runners, as a process does that has just gained the lease. */
+function createSimulation(runners: number, {awaited = 0} = {}) {
   const clock = new VirtualClock();
   const known = new Set<string>();
-  const asked: number[] = [];
+  const requestedMs: number[] = [];
   const control = {
     report: async () => {
-      asked.push(clock.nowMs());
+      requestedMs.push(clock.nowMs());
       await sleep(clock, ANSWER_MS);
       return ok({} as RunnerReport);
     },
   } as unknown as RunnerControl;
-  const asker = new ReportPoller({
+  const poller = new ReportPoller({
     clock,
     logger: new MemoryLogger(),
     control,
@@ -44,39 +44,39 @@
   });
   const runFor = async (forMs: number) => {
     for (let atMs = 0; atMs < forMs; atMs += REPORT_TICK_MS) {
-      asker.pollDue(controllers);
+      poller.pollDue(controllers);
       await clock.advance(REPORT_TICK_MS);
     }
   };
-  return {known, asked, runFor};
+  return {known, asked: requestedMs, runFor};
 }
 
-// Guards against a holder of the lease that asks thousands of runners at the same
-// moment: it answers nobody for seconds, its lease lapses, and the next one does
+// Guards against a holder that queries thousands of runners at the same moment:
+// it answers nothing for seconds, its lease lapses, and the next holder does
 // the same.
-describe('ReportAsker, of runners that nothing is known of', () => {
-  it('asks a few at once', async () => {
-    const {known, runFor} = createPlay(FEW);
+describe('ReportPoller, with unknown runners', () => {
+  it('polls a few at once', async () => {
+    const {known, runFor} = createSimulation(MAX_AT_ONCE);
     await runFor(REPORT_TICK_MS);
-    expect(known.size).toBe(FEW);
+    expect(known.size).toBe(MAX_AT_ONCE);
   });
 
-  it('asks no more of them after many whose orders are over', async () => {
-    const {asked, runFor} = createPlay(3_000, {awaited: 2 * FEW});
+  it('polls no more of them after many awaited ones', async () => {
+    const {asked, runFor} = createSimulation(3_000, {awaited: 2 * MAX_AT_ONCE});
     await runFor(REPORT_TICK_MS);
     const first = asked.length;
     await runFor(REPORT_TICK_MS);
-    expect(asked.length - first).toBeLessThanOrEqual(FEW);
+    expect(asked.length - first).toBeLessThanOrEqual(MAX_AT_ONCE);
   });
 
-  it('asks thousands at the rate that its processor has room for', async () => {
-    const {known, asked, runFor} = createPlay(3_000);
+  it('polls thousands at the rate of its processor share', async () => {
+    const {known, asked, runFor} = createSimulation(3_000);
     await runFor(1_000);
     const perSecond =
       (DEFAULT_OPTIONS.firstReportsPerCoreSecond +
         DEFAULT_OPTIONS.reportsPerCoreSecond) *
       PROCESSOR_SHARE;
-    expect(asked.length).toBeLessThanOrEqual(FEW + perSecond);
+    expect(asked.length).toBeLessThanOrEqual(MAX_AT_ONCE + perSecond);
     await runFor(30_000);
     expect(known.size).toBe(3_000);
   });
--- a/packages/banyanfold-gateway/src/__tests__/runnerConnections.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/runnerConnections.test.ts
@@ -4,7 +4,9 @@
 import {DEFAULT_OPTIONS} from '../options.js';
 import {RunnerConnection} from '../runners/runnerConnections.js';
 
-/** A runner whose answers have no length; `/reset` ends with a reset. */
+/**
+ * A runner whose responses have no length; that to `/reset` ends with a reset.
+ */
 const RUNNER = `
   const net = require('node:net');
   const {parentPort} = require('node:worker_threads');
@@ -31,10 +33,10 @@
 
 afterEach(() => runner.terminate());
 
-/** Whether an answer ended in order that came while this thread was busy. */
-async function endsInOrder(path: string): Promise<boolean> {
+/** Whether a response ended cleanly that arrived while this thread was busy. */
+async function endsCleanly(path: string): Promise<boolean> {
   const connection = new RunnerConnection(`127.0.0.1:${port}`, DEFAULT_OPTIONS);
-  const inOrder = await new Promise<boolean>(resolve => {
+  const isClean = await new Promise<boolean>(resolve => {
     connection.dispatch(
       {method: 'GET', path},
       {
@@ -47,7 +49,7 @@
     );
   });
   connection.destroy();
-  return inOrder;
+  return isClean;
 }
 
 function stayBusy(): void {
@@ -56,11 +58,12 @@
 }
 
 describe('RunnerConnection', () => {
-  it('tells an answer that was reset from one that ended', async () => {
-    // The caller gets a failure, not the first part as if it were all. The last
-    // bytes and the reset lie ready together when this thread looks; the runtime
-    // then reports an ordinary end, and the client library a whole answer.
-    expect(await endsInOrder('/reset')).toBe(false);
-    expect(await endsInOrder('/whole')).toBe(true);
+  it('distinguishes a response that was reset from a complete one', async () => {
+    // The last bytes and the reset are both ready when this thread reads. The
+    // runtime then reports an ordinary end, and the client library a complete
+    // response. The caller has to get a failure instead of a truncated
+    // response.
+    expect(await endsCleanly('/reset')).toBe(false);
+    expect(await endsCleanly('/whole')).toBe(true);
   });
 });
--- a/packages/banyanfold-gateway/src/__tests__/runnerController.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/runnerController.test.ts
@@ -19,7 +19,7 @@
 
 let clock: VirtualClock;
 let orders: RunnerOrder[];
-let answers: Array<OrderOutcome | 'lost'>;
+let orderAnswers: Array<OrderOutcome | 'lost'>;
 let isHolder: boolean;
 let fencedCount: number;
 let controller: RunnerController;
@@ -29,7 +29,7 @@
 beforeEach(() => {
   clock = new VirtualClock();
   orders = [];
-  answers = [];
+  orderAnswers = [];
   isHolder = true;
   fencedCount = 0;
   inUse = new Set();
@@ -57,7 +57,7 @@
       control: {
         order: async (_runnerId, _address, order) => {
           orders.push(order);
-          const answer = answers.shift() ?? 'accepted';
+          const answer = orderAnswers.shift() ?? 'accepted';
           if (answer !== 'lost') return ok(answer);
           const place = {step: 'order', peer: 'r1'};
           return err(new BanyanfoldError('no-answer', 'lost', place));
@@ -87,36 +87,37 @@
   };
 }
 
-function held(...adapters: string[]): RunnerReport['models'] {
+function heldModels(...adapters: string[]): RunnerReport['models'] {
   return [{name: 'm1', version: 1, adapters}];
 }
 
-describe('the orders to one runner', () => {
-  it('wait until the number of its orders is known', async () => {
+describe('RunnerController', () => {
+  it('sends no order before the order number is known', async () => {
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     controller.applyReport(report({orderNumber: 4}), 0);
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(true);
     expect(orders).toMatchObject([{adapter: 'a1', expectedOrderNumber: 4}]);
   });
 
-  it('name one number, so that of a lost and a new order one takes effect', async () => {
-    // A runner must never be overfilled. An order gets no answer and may be
-    // carried out seconds later; the one after it names the same number, so
-    // that the runner takes whichever comes first and refuses the other.
+  it('reuses the number of a lost order for the next one', async () => {
+    // Guards against overfilling a runner. An order gets no answer and may be
+    // carried out seconds later. The next order has the same number, so the
+    // runner accepts whichever arrives first and refuses the other.
     controller.applyReport(report(), 0);
-    answers = ['lost'];
+    orderAnswers = ['lost'];
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     await controller.ensureAdapter('m1', 'a2', SLOTS);
     const numbers = orders.map(order => order.expectedOrderNumber);
     expect(numbers).toEqual([0, 0]);
   });
 
-  it('tell of a runner that leaves them unanswered, or that is another one by now', async () => {
-    // Callers would wait for a load at a runner that is about to go, or that is
-    // gone while its registration lasts and another one answers at its address.
+  it('detects a runner that does not answer or was replaced', async () => {
+    // Guards against loads on a runner that is about to stop, or that has
+    // stopped while its registration is still valid and another one answers at
+    // its address.
     controller.applyReport(report(), 0);
     const load = {kind: 'load', model: 'm2', reason: 'x'} as const;
-    answers = ['lost', 'other-runner'];
+    orderAnswers = ['lost', 'other-runner'];
     await controller.orderModel(load, 100);
     expect(controller.isUnresponsive).toBe(true);
     expect(controller.isReachable).toBe(true);
@@ -128,58 +129,59 @@
     expect(controller.isUnresponsive).toBe(false);
   });
 
-  it('are kept when a report from before them comes', async () => {
+  it('keeps the effect of an order when an older report arrives', async () => {
     controller.applyReport(report(), 0);
     await controller.ensureAdapter('m1', 'a1', SLOTS);
     controller.applyReport(report({orderNumber: 0}), clock.nowMs());
     expect(controller.servingAdapters()).toEqual(['m1/a1']);
   });
 
-  it('are counted anew when the number ran ahead of the runner', async () => {
-    // All orders would be refused for good: an order that was under way already
-    // was answered like a new one and counted twice. A report that was asked
-    // for long after the last order counts, whatever its number.
+  it('resets an order number that is too high', async () => {
+    // A duplicate of an order in progress was accepted like a new one and
+    // counted twice, after which all orders were refused permanently. A report
+    // requested long after the last order counts, whatever its number.
     controller.applyReport(report(), 0);
     await controller.orderModel({kind: 'load', model: 'm2', reason: 'x'}, 100);
     await controller.orderModel({kind: 'load', model: 'm2', reason: 'x'}, 100);
     await clock.advance(SETTLED_MS);
-    const models = [...held(), {name: 'm2', version: 1, adapters: []}];
+    const models = [...heldModels(), {name: 'm2', version: 1, adapters: []}];
     controller.applyReport(report({orderNumber: 1, models}), clock.nowMs());
     await controller.ensureAdapter('m2', 'a1', SLOTS);
     expect(orders.at(-1)?.expectedOrderNumber).toBe(1);
   });
 
-  it('are counted anew while the runner refuses them one after the other', async () => {
-    // Callers of all adapters at this runner would wait for good. The number is
-    // one too high, each order is refused, and an order every 200 ms made every
-    // report look as if it came from before the last order.
+  it('resets the order number while the runner refuses each order', async () => {
+    // The number is one too high and each order is refused. With an order every
+    // 200 ms, every report seemed older than the last order, and requests for
+    // all adapters at this runner waited indefinitely.
     controller.applyReport(report({orderNumber: 1}), 0);
     await controller.ensureAdapter('m1', 'a1', SLOTS);
     for (let i = 0; i < 8; i++) {
-      answers = ['conflict'];
+      orderAnswers = ['conflict'];
       await controller.ensureAdapter('m1', `b${i}`, SLOTS);
       await clock.advance(200);
-      const models = held('a1');
+      const models = heldModels('a1');
       controller.applyReport(report({orderNumber: 1, models}), clock.nowMs());
     }
     expect(await controller.ensureAdapter('m1', 'a2', SLOTS)).toBe(true);
     expect(orders.at(-1)?.expectedOrderNumber).toBe(1);
   });
 
-  it('wait for a report where an answer left the number open', async () => {
-    // All later orders would name a number that the runner never reached. The
-    // load of an adapter gets no answer and did not happen; its unload is
-    // answered as if it had gone at once, which would count as an order.
-    controller.applyReport(report({models: held('a1')}), 0);
-    answers = ['lost'];
+  it('waits for a report when an answer leaves the number uncertain', async () => {
+    // The load of an adapter gets no answer and did not take place. Its unload
+    // is answered as if it had been unloaded at once, which would count as an
+    // order, and all later orders would have a number that the runner never
+    // reached.
+    controller.applyReport(report({models: heldModels('a1')}), 0);
+    orderAnswers = ['lost'];
     expect(await controller.ensureAdapter('m1', 'a2', SLOTS)).toBe(false);
     inUse = new Set(['m1/a1']);
     await clock.advance(400);
-    answers = ['holds'];
+    orderAnswers = ['holds'];
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(false);
     expect(orders).toHaveLength(2);
     await clock.advance(SETTLED_MS);
-    controller.applyReport(report({models: held('a1')}), clock.nowMs());
+    controller.applyReport(report({models: heldModels('a1')}), clock.nowMs());
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
     expect(orders.at(-1)).toMatchObject({
       adapter: 'a3',
@@ -187,13 +189,13 @@
     });
   });
 
-  it('wait for a report when the lease comes back after another holder', async () => {
-    // The runner would be overfilled and crash. An unload got no answer and never
-    // happened; the lease went to another process and came back long after. The
-    // number of orders is still the same, and the memory that the unload was to
-    // free is not.
+  it('waits for a report when the lease returns from another holder', async () => {
+    // Guards against overfilling a runner, which crashes it. An unload got no
+    // answer and never took place, and the lease moved to another process and
+    // came back long after. The number of orders is unchanged, but the memory
+    // was not freed.
     controller.applyReport(report(), 0);
-    answers = ['lost'];
+    orderAnswers = ['lost'];
     await controller.orderModel({kind: 'unload', model: 'm1', reason: 'x'}, 0);
     await clock.advance(60_000);
     term = 2;
@@ -206,9 +208,10 @@
     expect([...controller.models]).toEqual(['m1']);
   });
 
-  it('are not undone by a report while a model goes', async () => {
-    // Callers are sent to a runner that refuses them: its unload waits for the
-    // runs under way, and reports name the model as held until then.
+  it('keeps an unload in progress when a report lists the model', async () => {
+    // The unload waits for the requests in progress, and reports list the model
+    // until then. Without this check, requests would be routed to a runner that
+    // refuses them.
     controller.applyReport(report(), 0);
     await controller.orderModel({kind: 'unload', model: 'm1', reason: 'x'}, 0);
     await clock.advance(SETTLED_MS);
@@ -218,9 +221,9 @@
     expect(controller.servingModels()).toEqual(['m1']);
   });
 
-  it('stop while a load of the holder before is under way', async () => {
-    // A second load after the first would overfill the runner: the first one
-    // takes memory that shows in no report until it is over.
+  it('sends no order during a load of the previous holder', async () => {
+    // Guards against overfilling a runner: the first load takes memory that no
+    // report shows until it is complete.
     controller.applyReport(report({busy: true, orderNumber: 3}), 0);
     expect(controller.isBusy).toBe(true);
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
@@ -229,11 +232,11 @@
     expect(controller.isBusy).toBe(false);
   });
 
-  it('make a place by what was unused longest', async () => {
-    controller.applyReport(report({models: held('a1', 'a2')}), 0);
+  it('frees a slot by evicting the least recently used adapter', async () => {
+    controller.applyReport(report({models: heldModels('a1', 'a2')}), 0);
     await clock.advance(SETTLED_MS);
     controller.recordAdapterUse('m1', 'a1');
-    answers = ['holds'];
+    orderAnswers = ['holds'];
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
     expect(orders).toMatchObject([
       {kind: 'unload', adapter: 'a2', expectedOrderNumber: 0},
@@ -241,16 +244,17 @@
     ]);
   });
 
-  it('leave an adapter in use where it is', async () => {
-    // Callers of other adapters would wait for seconds: a runner that is to
-    // drop an adapter in use carries that order out until the runs are over,
-    // and refuses all others meanwhile. The longest unused one that is free goes.
-    controller.applyReport(report({models: held('a1', 'a2')}), 0);
+  it('does not evict an adapter in use', async () => {
+    // A runner that unloads an adapter in use waits for its requests and
+    // refuses all other orders until then. Requests for other adapters would
+    // wait for seconds. The least recently used adapter that is not in use is
+    // unloaded instead.
+    controller.applyReport(report({models: heldModels('a1', 'a2')}), 0);
     await clock.advance(SETTLED_MS);
     controller.recordAdapterUse('m1', 'a2');
     await clock.advance(SETTLED_MS);
     inUse = new Set(['m1/a1']);
-    answers = ['holds'];
+    orderAnswers = ['holds'];
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
     expect(orders.map(({adapter}) => adapter)).toEqual(['a2', 'a3']);
     inUse = new Set(['m1/a1', 'm1/a3']);
@@ -259,21 +263,21 @@
     expect(orders).toHaveLength(2);
   });
 
-  it('count a place as taken until an adapter in use is gone', async () => {
-    // The runner would be overfilled: an adapter in use goes only when its runs
-    // are over, and a load into its place before that is one too many.
-    controller.applyReport(report({models: held('a1', 'a2')}), 0);
+  it('counts a slot as occupied until an adapter in use is gone', async () => {
+    // Guards against overfilling a runner: an adapter in use is unloaded only
+    // after its requests, and a load into its slot before that is one too many.
+    controller.applyReport(report({models: heldModels('a1', 'a2')}), 0);
     await clock.advance(SETTLED_MS);
-    answers = ['accepted', 'accepted'];
+    orderAnswers = ['accepted', 'accepted'];
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(false);
     expect(orders.every(({kind}) => kind === 'unload')).toBe(true);
     await clock.advance(SETTLED_MS);
-    const models = held('a2');
+    const models = heldModels('a2');
     controller.applyReport(report({orderNumber: 2, models}), clock.nowMs());
     expect(await controller.ensureAdapter('m1', 'a3', SLOTS)).toBe(true);
   });
 
-  it('take nothing away that was asked for a moment ago', async () => {
+  it('does not evict an adapter that was requested recently', async () => {
     controller.applyReport(report(), 0);
     await controller.ensureAdapter('m1', 'a1', SLOTS);
     await controller.ensureAdapter('m1', 'a2', SLOTS);
@@ -281,13 +285,13 @@
     expect(orders.some(({kind}) => kind === 'unload')).toBe(false);
   });
 
-  it('end where the lease does, and tell it of a higher token', async () => {
+  it('stops orders with the lease and reports a higher token', async () => {
     controller.applyReport(report(), 0);
     isHolder = false;
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     expect(orders).toEqual([]);
     isHolder = true;
-    answers = ['fenced'];
+    orderAnswers = ['fenced'];
     expect(await controller.ensureAdapter('m1', 'a1', SLOTS)).toBe(false);
     expect(fencedCount).toBe(1);
   });
--- a/packages/banyanfold-gateway/src/__tests__/runnerRateLimits.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/runnerRateLimits.test.ts
@@ -1,12 +1,12 @@
 import {MemoryLogger, Metrics, VirtualClock} from '@banyanfold/core';
 import {describe, expect, it} from 'vitest';
 import {RunnerRateLimits} from '../runners/runnerRateLimits.js';
-import {playRateLimit, type RateLimitPlay} from './rateLimitFleet.js';
+import {simulateRateLimit, type RateLimitScenario} from './rateLimitFleet.js';
 
 const WINDOW_S = 4;
-const FOR_MS = 16_000;
+const DURATION_MS = 16_000;
 
-/** Mulberry32, so that a seed plays the same load each time. */
+/** Mulberry32, so that a seed reproduces the same load. */
 function randomOf(seed: number): () => number {
   let state = seed;
   return () => {
@@ -17,88 +17,89 @@
   };
 }
 
-/** What a runner that names a limit may get in a window at most. */
-function allowed(limitPerSecond: number): number {
+/** Maximum number of requests per window at a runner with a limit. */
+function maxRequests(limitPerSecond: number): number {
   return limitPerSecond * WINDOW_S * 1.5 + 5;
 }
 
 const LOADS = [2, 26, 730].flatMap(entries =>
   [0.25, 1, 6.5, 50].flatMap(limitPerSecond =>
-    [1.5, 12].map(times => ({
+    [1.5, 12].map(factor => ({
       entries,
       limitPerSecond,
-      askedPerSecond: Math.max(4, limitPerSecond * times),
+      askedPerSecond: Math.max(4, limitPerSecond * factor),
     })),
   ),
 );
 
-type Trouble = Partial<RateLimitPlay>;
+type Fault = Partial<RateLimitScenario>;
 
-const TROUBLES: Record<string, Trouble> = {
-  'by one exchange': {},
+const FAULTS: Record<string, Fault> = {
+  'with direct exchanges': {},
   'through relays': {isRelayed: true},
   'while an entry is frozen': {
     isFrozen: (entry, nowMs) => entry === 0 && nowMs > 5_000 && nowMs < 8_000,
   },
-  'while an entry is cut off': {
-    isCut: (entry, nowMs) => entry === 1 && nowMs > 5_000 && nowMs < 9_000,
+  'while an entry is disconnected': {
+    isDisconnected: (entry, nowMs) =>
+      entry === 1 && nowMs > 5_000 && nowMs < 9_000,
   },
-  'while entries start anew': {
+  'while entries restart': {
     restarts: (entry, nowMs) =>
       nowMs % 2_000 === 0 && entry === (nowMs / 2_000) % 3,
   },
   'while the holder changes': {
     changesHolder: nowMs => nowMs % 5_000 === 1_000,
   },
-  'while nobody hears the holder': {
-    isCut: (_entry, nowMs) => nowMs > 6_000 && nowMs < 9_000,
+  'while no entry reaches the holder': {
+    isDisconnected: (_entry, nowMs) => nowMs > 6_000 && nowMs < 9_000,
   },
 };
 
-describe('the use of a rate-limited runner over all entries', () => {
-  // Guards against a runner in need that gets more than it named.
-  it.each(Object.entries(TROUBLES))(
-    'stays within the limit, heard of %s',
-    async (_name, trouble) => {
-      const over: string[] = [];
+describe('the use of a rate-limited runner by all entries', () => {
+  // Guards against exceeding the limit of a runner.
+  it.each(Object.entries(FAULTS))(
+    'stays within the limit %s',
+    async (_name, fault) => {
+      const violations: string[] = [];
       for (const [i, load] of LOADS.entries()) {
         const random = randomOf(i + 1);
-        const play = {...load, ...trouble, random, forMs: FOR_MS};
-        const {mostInWindow} = await playRateLimit(play);
+        const scenario = {...load, ...fault, random, durationMs: DURATION_MS};
+        const {mostInWindow} = await simulateRateLimit(scenario);
         const {entries, limitPerSecond, askedPerSecond} = load;
-        if (mostInWindow <= allowed(limitPerSecond)) continue;
-        over.push(
+        if (mostInWindow <= maxRequests(limitPerSecond)) continue;
+        violations.push(
           `${entries} entries, ${limitPerSecond}/s of ${askedPerSecond}/s: ${mostInWindow}`,
         );
       }
-      expect(over).toEqual([]);
+      expect(violations).toEqual([]);
     },
     120_000,
   );
 
-  // Guards against a limited runner that is left idle while callers are refused.
-  it.each([2, 26, 730])('uses most of the limit from %i entries', async n => {
+  // Guards against leaving a limited runner idle while requests are refused.
+  it.each([2, 26, 730])('uses most of the limit with %i entries', async n => {
     for (const limitPerSecond of [1, 6.5, 50]) {
-      const {usedShare} = await playRateLimit({
+      const {usedShare} = await simulateRateLimit({
         entries: n,
         limitPerSecond,
         askedPerSecond: limitPerSecond * 6,
-        forMs: FOR_MS,
+        durationMs: DURATION_MS,
         random: randomOf(5),
       });
       expect(usedShare).toBeGreaterThan(0.7);
     }
   });
 
-  // Guards against a runner that is kept from its share after its need is over.
-  it('sends what is asked soon after the limit is lifted', async () => {
+  // Guards against throttling a runner after its limit was lifted.
+  it('sends all requests soon after the limit is lifted', async () => {
     for (const entries of [2, 26]) {
-      const {sentMs} = await playRateLimit({
+      const {sentMs} = await simulateRateLimit({
         entries,
         limitPerSecond: 1,
         askedPerSecond: 40,
         limitedUntilMs: 10_000,
-        forMs: FOR_MS,
+        durationMs: DURATION_MS,
         random: randomOf(6),
       });
       const after = sentMs.filter(atMs => atMs >= 13_000).length;
@@ -126,8 +127,8 @@
     });
   }
 
-  // Guards against a limit lifted for all by an answer that lay unread meanwhile.
-  it('lifts no limit by the answer to an older request', async () => {
+  // Guards against lifting a limit because of a response that stayed unread.
+  it('does not lift a limit on the response to an older request', async () => {
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
@@ -139,8 +140,8 @@
     expect(limits.acquire('r1').kind).toBe('unlimited');
   });
 
-  // Guards against a limit that grows younger each time that it is told.
-  it('tells only of limits that its own requests met', async () => {
+  // Guards against a limit that seems more recent with each report.
+  it('reports only limits that its own requests received', async () => {
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
@@ -154,14 +155,14 @@
     ]);
   });
 
-  // Guards against a limit that a new holder hears of from nobody.
-  it('goes on telling of its own limits after the holder has told them', async () => {
+  // Guards against a limit that no entry reports to a new holder.
+  it('keeps reporting its own limits after the holder reports them', async () => {
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
     limits.recordAnswer('r1', answer(1), 900);
     await clock.advance(50);
-    // The way there and back took 10 ms.
+    // The round trip took 10 ms.
     const use = {used: 0, askedPerSecond: 0};
     limits.applyFleetLimits({r1: {perSecond: 1, ageMs: 40, ...use}}, 0, false);
     expect(limits.reportedLimits()).toEqual([
@@ -169,8 +170,9 @@
     ]);
   });
 
-  // Guards against a limit that comes back as its lifting is forgotten too soon.
-  it('tells of a limit that a slow answer has lifted', async () => {
+  // Guards against a limit that returns because its removal is forgotten too
+  // early.
+  it('reports a limit that a slow response has lifted', async () => {
     const clock = new VirtualClock();
     const limits = createLimits(clock);
     await clock.advance(1_000);
--- a/packages/banyanfold-gateway/src/placement/leaseManager.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseManager.ts
@@ -22,7 +22,7 @@
    * next.
    */
   leaseMs: number;
-  /** A process without store errors for this long counts as connected. */
+  /** A process that has run without store errors for this long counts as connected. */
   contactMs: number;
   /**
    * Asks the former holder for its last order. Returns undefined if it doesn't
@@ -55,7 +55,7 @@
 
 /** The same instant on the monotonic clock and on the wall clock. */
 interface ClockReading {
-  steadyMs: number;
+  monotonicMs: number;
   wallMs: number;
 }
 
@@ -249,16 +249,16 @@
     const {logger, handOver} = this.options;
     logger.warn('lease-leave-failed', {isHeld, error: result.error.message});
     if (!isHeld || !this.options.areRunnersFenced) return;
-    const newHolder = await handOver({
+    const takenBy = await handOver({
       generation: this.generation,
       step: this.handoverCount + 1,
     });
-    logger.info('lease-handed-over', {takenBy: newHolder});
-    this.ownsLease = newHolder === undefined;
+    logger.info('lease-handed-over', {takenBy});
+    this.ownsLease = takenBy === undefined;
     this.keepsUntilExit = this.ownsLease;
     // Peers that still query this process have no other way to learn the new
     // holder while the store is unreachable.
-    if (newHolder !== undefined) this.recordHolderAddress(newHolder);
+    if (takenBy !== undefined) this.recordHolderAddress(takenBy);
     this.current();
   }
 
@@ -304,11 +304,11 @@
     const {ttlMs, logger, clock} = this.options;
     this.timer?.cancel();
     const sentAt = this.now();
-    const joinResult = await this.joinUnlessHeld();
-    if (joinResult === 'left-to-another') return;
+    const joined = await this.joinUnlessHeld();
+    if (joined === 'left-to-another') return;
     if (this.isStopped || !this.isStandby) return;
-    if (joinResult.isOk()) {
-      const {generation, owns} = joinResult.value;
+    if (joined.isOk()) {
+      const {generation, owns} = joined.value;
       if (this.isStoreDown) logger.info('lease-renewed', {generation, owns});
       this.isStoreDown = false;
       // If runners don't check tokens, a lease that moved to another process
@@ -329,7 +329,7 @@
       // Logged once per outage, because the renewal is retried four times a
       // second.
       if (!this.isStoreDown) {
-        logger.warn('lease-renewal-failed', {error: joinResult.error.message});
+        logger.warn('lease-renewal-failed', {error: joined.error.message});
       }
       this.isStoreDown = true;
       this.failedAt = sentAt;
@@ -401,16 +401,15 @@
       this.options;
     const generation = this.generation;
     this.ordersAllowedFromMs = clock.nowMs() + leaseMs;
-    const formerHolder = this.formerHolder;
+    const former = this.formerHolder;
     const isFenced = this.options.areRunnersFenced;
     let waitMs = leaseMs;
-    if (formerHolder !== undefined) {
-      const lastOrder = await queryFormerHolder(formerHolder, generation);
-      const hasFormerStopped =
-        isFenced && (lastOrder === undefined || lastOrder.isOver);
-      waitMs = hasFormerStopped
+    if (former !== undefined) {
+      const last = await queryFormerHolder(former, generation);
+      const isDone = isFenced && (last === undefined || last.isOver);
+      waitMs = isDone
         ? 0
-        : Math.max(0, leaseMs - sinceLastOrderMs(lastOrder, isFenced));
+        : Math.max(0, leaseMs - sinceLastOrderMs(last, isFenced));
       if (this.generation !== generation) waitMs = leaseMs;
     }
     const hasJustStarted = this.elapsedMs(this.startedAt) < contactMs;
@@ -420,11 +419,7 @@
     this.ordersAllowedFromMs = clock.nowMs() + waitMs;
     this.formerHolder = undefined;
     this.holderAddress = address;
-    logger.info('lease-gained', {
-      generation,
-      former: formerHolder,
-      orderInMs: waitMs,
-    });
+    logger.info('lease-gained', {generation, former, orderInMs: waitMs});
     clock.setTimer(waitMs, () => this.current());
   }
 
@@ -466,7 +461,7 @@
 
   private now(): ClockReading {
     const {clock} = this.options;
-    return {steadyMs: clock.nowMs(), wallMs: clock.wallMs()};
+    return {monotonicMs: clock.nowMs(), wallMs: clock.wallMs()};
   }
 
   private hasLapsed(): boolean {
@@ -477,7 +472,10 @@
 
   private elapsedMs(since: ClockReading): number {
     const now = this.now();
-    return Math.max(now.steadyMs - since.steadyMs, now.wallMs - since.wallMs);
+    return Math.max(
+      now.monotonicMs - since.monotonicMs,
+      now.wallMs - since.wallMs,
+    );
   }
 
   private async queryOwner(): Promise<void> {
