--- a/packages/banyanfold-gateway/src/placement/copyRevisions.ts
+++ b/packages/banyanfold-gateway/src/placement/copyRevisions.ts
@@ -44,9 +44,9 @@
   update(runners: readonly ToldRunner[]): void {
     const present = new Set(runners.map(({runnerId}) => runnerId));
     for (const runner of runners) {
-      const text = JSON.stringify(runner);
-      if (this.changes.get(runner.runnerId)?.serialized !== text) {
-        this.recordChange(runner.runnerId, text, runner);
+      const serialized = JSON.stringify(runner);
+      if (this.changes.get(runner.runnerId)?.serialized !== serialized) {
+        this.recordChange(runner.runnerId, serialized, runner);
       }
     }
     for (const [runnerId, {runner, revision}] of this.changes) {
@@ -79,13 +79,13 @@
 
   private recordChange(
     runnerId: string,
-    text: string,
+    serialized: string,
     runner?: ToldRunner,
   ): void {
     this.revision += 1;
     this.changes.set(runnerId, {
       revision: this.revision,
-      serialized: text,
+      serialized,
       runner,
     });
   }
--- a/packages/banyanfold-gateway/src/placement/entryLoads.ts
+++ b/packages/banyanfold-gateway/src/placement/entryLoads.ts
@@ -1,6 +1,6 @@
 import type {RelayCandidate} from '@banyanfold/decisions';
 
-/** An entry that has not reported for this long no longer counts, in ms. */
+/** An entry that has not reported for this long no longer counts. */
 const ENTRY_EXPIRY_MS = 2_000;
 /**
  * Work is rounded to a tenth, which shortens messages and affects no decision.
--- a/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
@@ -33,7 +33,7 @@
   /** Records the limits that an entry knows. */
   recordLimits(limits: readonly KnownRateLimit[]): void {
     const nowMs = this.clock.nowMs();
-    for (const limit of limits) this.noteLimit(limit, nowMs);
+    for (const limit of limits) this.recordLimit(limit, nowMs);
   }
 
   /** Records the requests of an entry to rate-limited runners. */
@@ -66,7 +66,7 @@
     return limits;
   }
 
-  private noteLimit(
+  private recordLimit(
     {runnerId, perSecond, ageMs}: KnownRateLimit,
     nowMs: number,
   ): void {
@@ -97,6 +97,6 @@
   {countedSinceMs, perSecond = 0}: RunnerAccount,
   nowMs: number,
 ): number {
-  const leftMs = Math.max(0, WINDOW_MS - (nowMs - countedSinceMs));
-  return (perSecond * leftMs) / MS_PER_SECOND;
+  const uncountedMs = Math.max(0, WINDOW_MS - (nowMs - countedSinceMs));
+  return (perSecond * uncountedMs) / MS_PER_SECOND;
 }
--- a/packages/banyanfold-gateway/src/placement/leaseHolder.ts
+++ b/packages/banyanfold-gateway/src/placement/leaseHolder.ts
@@ -382,7 +382,7 @@
 
   lastOrder(later: LaterHolder): LastOrder {
     const {clock, isLeaving, lease} = this.deps;
-    const wasOutOfTouch = lease.yieldTo(later.generation, later.address);
+    const hasLostStore = lease.yieldTo(later.generation, later.address);
     let latestMs: number | undefined;
     for (const {lastOrderMs} of this.controllers.values()) {
       if (lastOrderMs === undefined) continue;
@@ -391,7 +391,7 @@
     return {
       agoMs: latestMs === undefined ? undefined : clock.nowMs() - latestMs,
       upMs: clock.nowMs() - this.startedMs,
-      isOver: isLeaving() || wasOutOfTouch,
+      isOver: isLeaving() || hasLostStore,
     };
   }
 
--- a/packages/banyanfold-gateway/src/placement/runnerController.ts
+++ b/packages/banyanfold-gateway/src/placement/runnerController.ts
@@ -130,8 +130,8 @@
   }
 
   get isBusy(): boolean {
-    const isUnderWay = this.options.clock.nowMs() < this.busyUntilMs;
-    return isUnderWay || this.pendingModelOrders > 0;
+    const isInProgress = this.options.clock.nowMs() < this.busyUntilMs;
+    return isInProgress || this.pendingModelOrders > 0;
   }
 
   /**
@@ -180,10 +180,10 @@
    * response to an order.
    */
   get isReachable(): boolean {
-    const isGone =
+    const isReplaced =
       this.addressReusedMs !== undefined &&
       this.options.clock.nowMs() - this.addressReusedMs < ADDRESS_REUSED_MS;
-    return !isGone && this.failedReports < MAX_FAILED_REPORTS;
+    return !isReplaced && this.failedReports < MAX_FAILED_REPORTS;
   }
 
   recordReportFailure(): void {
@@ -203,14 +203,14 @@
    * counts, because otherwise a number that was counted too high would make all
    * reports ignored and all orders refused permanently.
    */
-  applyReport(report: RunnerReport, askedMs: number): void {
+  applyReport(report: RunnerReport, requestedMs: number): void {
     const {options} = this;
     this.failedReports = 0;
     this.inMemory = report.inMemory;
     this.onDisk = report.onDisk;
     const isSettled =
       this.lastPossibleEffectMs === undefined ||
-      askedMs - this.lastPossibleEffectMs >= MAX_REPORT_LAG_MS;
+      requestedMs - this.lastPossibleEffectMs >= MAX_REPORT_LAG_MS;
     const isStale =
       this.orderNumber !== undefined && report.orderNumber < this.orderNumber;
     if (!isSettled && (isStale || this.isOrderNumberUncertain)) return;
@@ -331,12 +331,12 @@
     });
     if (outcome === 'refused') return false;
     const nowMs = clock.nowMs();
-    const isDoubtful = outcome === 'unknown';
+    const isUnconfirmed = outcome === 'unknown';
     this.adapters.set(key, {
       model,
       adapter,
       usedMs: nowMs,
-      isUnconfirmed: isDoubtful,
+      isUnconfirmed,
     });
     return outcome !== 'unknown';
   }
--- a/packages/banyanfold-gateway/src/runners/runnerConnections.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerConnections.ts
@@ -3,7 +3,7 @@
 import {buildConnector, Client, type Dispatcher} from 'undici';
 import type {GatewayOptions} from '../options.js';
 
-const NEVER_MS = 0;
+const NO_TIMEOUT_MS = 0;
 /** Safety margin before the idle timeout that a runner announces. */
 const KEEP_ALIVE_MARGIN_MS = 300;
 
@@ -23,15 +23,15 @@
     const connect = buildConnector({timeout: options.connectTimeoutMs});
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
-      headersTimeout: NEVER_MS,
-      bodyTimeout: NEVER_MS,
+      headersTimeout: NO_TIMEOUT_MS,
+      bodyTimeout: NO_TIMEOUT_MS,
       keepAliveTimeout: options.runnerIdleMs,
       keepAliveMaxTimeout: options.runnerIdleMs,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       connect: (target, done) => {
         connect(target, (error, socket) => {
           if (error || !socket) {
-            done(error ?? new Error('no socket'), null);
+            done(error ?? new Error('connector returned no socket'), null);
             return;
           }
           this.established = true;
--- a/packages/banyanfold-gateway/src/runners/runnerStates.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerStates.ts
@@ -71,7 +71,7 @@
 /** Load and health of each runner as observed by this process. */
 export class RunnerStates {
   private readonly states = new Map<string, RunnerState>();
-  private readonly urgency = new PriorityMix();
+  private readonly priorityMix = new PriorityMix();
   /** Outcomes to report to the holder, which ejects runners by them. */
   readonly outcomes = new OutcomeMeter();
 
@@ -137,7 +137,7 @@
 
   recordStart(runnerId: string, service: string, started: StartedWork): void {
     const {priority, work} = started;
-    if (priority !== undefined) this.urgency.record(priority, work.read);
+    if (priority !== undefined) this.priorityMix.record(priority, work.read);
     const state = this.getOrCreate(runnerId, service);
     state.openWork += started.work.read + started.work.generate;
     state.openRequests += 1;
@@ -152,7 +152,7 @@
    */
   workAhead(runnerId: string, priority: number): number {
     return (
-      this.openWork(runnerId) * this.urgency.shareAtLeastAsUrgent(priority)
+      this.openWork(runnerId) * this.priorityMix.shareAtLeastAsUrgent(priority)
     );
   }
 
@@ -182,15 +182,15 @@
   }
 
   /** @param wasRead whether the first byte has arrived. */
-  recordEnd(runnerId: string, ended: StartedWork, wasRead: boolean): void {
+  recordEnd(runnerId: string, finished: StartedWork, wasRead: boolean): void {
     const state = this.states.get(runnerId);
     if (!state) return;
-    const {read, generate} = ended.work;
+    const {read, generate} = finished.work;
     const remainingWork = wasRead ? generate : read + generate;
     state.openWork = Math.max(0, state.openWork - remainingWork);
     state.openRequests -= 1;
-    adjustCount(state.adaptersInUse, ended.adapter, -1);
-    adjustCount(state.modelsInUse, ended.model, -1);
+    adjustCount(state.adaptersInUse, finished.adapter, -1);
+    adjustCount(state.modelsInUse, finished.model, -1);
   }
 
   /** Sets the open work and requests of the other entries, by runner. */
