--- a/packages/banyanfold-gateway/src/__tests__/admissionChecks.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/admissionChecks.test.ts
@@ -24,13 +24,13 @@
     clock,
     logger,
     drainDeadlineMs: () => drainDeadlineMs,
-    heldCopies: {copyInMs: () => copyInMs, ageMs: 120},
+    heldCopies: {copyDelayMs: () => copyInMs, ageMs: 120},
     runnerStates: {
       workAhead: () => workAhead,
       workPerSecond: () => 40,
       openRequests: () => 0,
     },
-    view: {runner: () => undefined, current: undefined},
+    view: {runner: () => undefined, currentConfig: undefined},
   } as unknown as GatewayContext;
 });
 
--- a/packages/banyanfold-gateway/src/__tests__/promptGate.test.ts
+++ b/packages/banyanfold-gateway/src/__tests__/promptGate.test.ts
@@ -1,78 +1,79 @@
 import {VirtualClock} from '@banyanfold/core';
 import {beforeEach, describe, expect, it} from 'vitest';
-import {PromptGate, type PromptTurn} from '../runners/promptGate.js';
+import {PromptGate, type PromptPermit} from '../runners/promptGate.js';
 
 const FIRST_WINDOW = 4;
 
 let clock: VirtualClock;
 let gate: PromptGate;
-let went: string[];
+let granted: string[];
 
 beforeEach(() => {
   clock = new VirtualClock();
   gate = new PromptGate(clock);
-  went = [];
+  granted = [];
 });
 
-function enter(name: string, priority = 1, startedMs = 0): PromptTurn {
-  const turn = gate.enter('r1', priority, startedMs);
-  void turn.come.then(mayGo => {
-    if (mayGo) went.push(name);
+function acquire(name: string, priority = 1, startedMs = 0): PromptPermit {
+  const turn = gate.acquire('r1', priority, startedMs);
+  void turn.granted.then(mayGo => {
+    if (mayGo) granted.push(name);
   });
   return turn;
 }
 
-function fill(): PromptTurn[] {
+function fillWindow(): PromptPermit[] {
   const names = Array.from({length: FIRST_WINDOW}, (_, i) => `first-${i}`);
-  return names.map(name => enter(name));
+  return names.map(name => acquire(name));
 }
 
 describe('PromptGate', () => {
-  it('lets the most urgent go next, and of two alike the older one', async () => {
-    const [first, second, third] = fill();
-    enter('late', 1, 300);
-    enter('early', 1, 200);
-    enter('urgent', 0, 400);
+  it('grants the most urgent request first, then the older one', async () => {
+    const [first, second, third] = fillWindow();
+    acquire('late', 1, 300);
+    acquire('early', 1, 200);
+    acquire('urgent', 0, 400);
     for (const turn of [first!, second!, third!]) {
-      turn.giveBack();
+      turn.release();
       await clock.advance(1);
     }
-    expect(went.slice(FIRST_WINDOW)).toEqual(['urgent', 'early', 'late']);
+    expect(granted.slice(FIRST_WINDOW)).toEqual(['urgent', 'early', 'late']);
   });
 
-  it('gives a turn back once, however often it is told', async () => {
-    // A caller leaves at the moment its first event comes: both give the turn
-    // back, and a second one counted would let one prompt more in for good.
-    const [first] = fill();
-    enter('next');
-    enter('after');
-    first!.giveBack();
-    first!.giveBack();
+  it('releases a permit once, however often it is called', async () => {
+    // A caller may disconnect at the moment at which its first event arrives,
+    // and both release the permit. Counting the second release would let one
+    // more prompt in permanently.
+    const [first] = fillWindow();
+    acquire('next');
+    acquire('after');
+    first!.release();
+    first!.release();
     await clock.advance(1);
-    expect(went.slice(FIRST_WINDOW)).toEqual(['next']);
+    expect(granted.slice(FIRST_WINDOW)).toEqual(['next']);
   });
 
-  it('lets one go that has waited long enough, and drops one that left', async () => {
-    const [first] = fill();
-    const left = enter('left');
-    const waited = enter('waited');
-    left.giveBack();
-    expect(await left.come).toBe(false);
-    waited.goAhead();
-    first!.giveBack();
+  it('grants a permit on demand and drops a released one', async () => {
+    const [first] = fillWindow();
+    const released = acquire('left');
+    const forced = acquire('waited');
+    released.release();
+    expect(await released.granted).toBe(false);
+    forced.grantNow();
+    first!.release();
     await clock.advance(1);
-    expect(went.slice(FIRST_WINDOW)).toEqual(['waited']);
+    expect(granted.slice(FIRST_WINDOW)).toEqual(['waited']);
   });
 
-  it('tells a runner that reads nothing', async () => {
-    // Callers at a runner that hangs get no event; others would wait for their
-    // turn behind them until they leave. They go to another runner instead.
-    const turns = fill();
+  it('detects a runner that reads no prompts', async () => {
+    // Requests at a runner that hangs get no event, and others would wait
+    // behind them until they time out. They go to another runner instead.
+    const turns = fillWindow();
     await clock.advance(700);
     expect(gate.isStalled('r1')).toBe(false);
     await clock.advance(200);
     expect(gate.isStalled('r1')).toBe(true);
-    turns[0]!.giveBack();
+    turns[0]!.release();
     expect(gate.isStalled('r1')).toBe(false);
   });
 });
--- a/packages/banyanfold-gateway/src/gatewayServer.ts
+++ b/packages/banyanfold-gateway/src/gatewayServer.ts
@@ -78,7 +78,7 @@
   }
 
   private get limits(): CallerLimits {
-    return this.context.view.current?.limits ?? LIMITS_BEFORE_CONFIG;
+    return this.context.view.currentConfig?.limits ?? LIMITS_BEFORE_CONFIG;
   }
 
   private applyLimits(): void {
@@ -116,7 +116,7 @@
       return;
     }
     const host = request.headers.host ?? '';
-    const route = context.view.route(host, request.url ?? '/');
+    const route = context.view.findRoute(host, request.url ?? '/');
     if (!route) {
       this.refuseUnrouted(request, response);
       return;
@@ -265,7 +265,7 @@
       reason,
       key: keyDigest && shortDigest(keyDigest),
       target: request.url,
-      config: view.current?.version,
+      config: view.currentConfig?.version,
     });
     const status = ERROR_STATUS.unauthorized;
     sendErrorResponse(response, {status, reason}, isDraining());
@@ -283,7 +283,7 @@
       status,
       host: request.headers.host,
       target: request.url,
-      config: view.current?.version,
+      config: view.currentConfig?.version,
       configAgeMs: view.configAgeMs && Math.round(view.configAgeMs),
     });
     sendErrorResponse(
--- a/packages/banyanfold-gateway/src/peers/holderLink.ts
+++ b/packages/banyanfold-gateway/src/peers/holderLink.ts
@@ -173,7 +173,7 @@
       if (answer.reason === 'not-holder') lease.refreshHolder();
       return false;
     }
-    heldCopies.noteAdapter(request.runnerId, request.model, request.adapter);
+    heldCopies.addAdapter(request.runnerId, request.model, request.adapter);
     await new Promise<void>(resolve => {
       clock.setTimer(options.adapterSettleMs, resolve);
     });
@@ -272,7 +272,7 @@
       openWork: states.ownOpenWork(),
       adaptersInUse: states.ownAdaptersInUse(),
       modelsInUse: states.ownModelsInUse(),
-      waiting: demand.waitingNow(),
+      waiting: demand.waitingCounts(),
     };
   }
 
@@ -292,7 +292,7 @@
       modelsInUse: load.modelsInUse as ExchangeInput['modelsInUse'],
       known: this.knownCopies,
       batch: this.pendingDemand.nextBatch(),
-      rateLimits: this.deps.rateLimits.toldLimits(),
+      rateLimits: this.deps.rateLimits.reportedLimits(),
       crashes: this.deps.suspects.pendingReport(),
       knownSuspects: this.deps.suspects.knownVersion,
     };
@@ -371,12 +371,12 @@
       output.ageMs,
       isForwarded,
     );
-    this.deps.rateLimits.tell(
+    this.deps.rateLimits.applyFleetLimits(
       output.rateLimits ?? {},
       output.ageMs,
       isForwarded,
     );
-    this.deps.states.noteEjected(output.ejectedForMs ?? {}, output.ageMs);
+    this.deps.states.applyEjections(output.ejectedForMs ?? {}, output.ageMs);
     this.applyVersions(output, sender);
     this.applyLoads(output, isForwarded);
     this.applyRoles(output);
@@ -396,8 +396,8 @@
     this.lastState = {atMs: nowMs, readAgeMs};
     if (output.isOrdering) this.lastContactMs = nowMs;
     metrics.observeMs('holder_word_age_ms', ageMs);
-    heldCopies.tell(output.copies, ageMs);
-    heldCopies.tellCopiesInMs(output.copiesInMs);
+    heldCopies.applyChanges(output.copies, ageMs);
+    heldCopies.setCopyDelays(output.copiesInMs);
     const {epoch, revision} = output.copies;
     this.knownCopies = {epoch, revision};
   }
@@ -406,14 +406,14 @@
     const {lease, loadRate, clock, states, self, onEntryCount} = this.deps;
     // The holder already knows its own loads.
     if (!lease.current().isHolder) {
-      loadRate.learn(output.loadAgesMs, clock.nowMs());
+      loadRate.restore(output.loadAgesMs, clock.nowMs());
     }
     const {peersWork, peersRequests} = output;
     if (isForwarded) {
-      states.notePeersWork(peersWork, peersRequests);
+      states.setPeersWork(peersWork, peersRequests);
     } else {
       const group = this.relay.groupLoadExcluding(self.address);
-      states.notePeersWork(
+      states.setPeersWork(
         sumByKey(peersWork, group.work),
         sumByKey(peersRequests, group.requests),
       );
--- a/packages/banyanfold-gateway/src/peers/relay.ts
+++ b/packages/banyanfold-gateway/src/peers/relay.ts
@@ -93,7 +93,7 @@
   groupLoad(own: RelayCandidate): EntryLoad {
     const {clock, address, ownLoad} = this.options;
     const nowMs = clock.nowMs();
-    this.loads.note(address, ownLoad(), nowMs);
+    this.loads.record(address, ownLoad(), nowMs);
     const load = this.loads.sum(nowMs);
     const others = load.members.filter(m => m.address !== own.address);
     return {...load, members: [own, ...others]};
@@ -111,8 +111,8 @@
   groupLoadExcluding(entry: string) {
     const nowMs = this.options.clock.nowMs();
     return {
-      work: this.loads.workWithout(entry, nowMs),
-      requests: this.loads.requestsWithout(entry, nowMs),
+      work: this.loads.openWorkExcept(entry, nowMs),
+      requests: this.loads.openRequestsExcept(entry, nowMs),
     };
   }
 
@@ -126,7 +126,7 @@
 
   /** Adds the limits to those that this process reports as its own. */
   private noteRateLimits({rateLimits = []}: ExchangeInput): void {
-    for (const limit of rateLimits) this.options.rateLimits.noteTold(limit);
+    for (const limit of rateLimits) this.options.rateLimits.addRelayed(limit);
   }
 
   /** Handles an entry's exchange; without recent state it names the holder. */
@@ -138,9 +138,9 @@
       return {kind: 'not-holder', holderAddress: holderAddress()};
     }
     const {entry, batch, configVersion, runnersChange} = input;
-    this.loads.note(entry, input, nowMs);
-    this.loads.note(address, ownLoad(), nowMs);
-    if (this.batches.isNew(entry, batch.batchId)) this.addBatch(batch);
+    this.loads.record(entry, input, nowMs);
+    this.loads.record(address, ownLoad(), nowMs);
+    if (this.batches.addIfNew(entry, batch.batchId)) this.addBatch(batch);
     this.noteRateLimits(input);
     suspects.forward(input.crashes);
     if (Object.keys(input.waiting).length > 0) this.options.demand.onWaiting();
--- a/packages/banyanfold-gateway/src/placement/copyRevisions.ts
+++ b/packages/banyanfold-gateway/src/placement/copyRevisions.ts
@@ -1,84 +1,82 @@
 import type {RunnerCopies} from '../peers/peerContract.js';
 
-/** Up to where an entry has heard the changes of one holder. */
+/** The last revision of one holder that an entry has received. */
 export interface KnownRevision {
-  /** Tells the numbers of one holder from those of another. */
-  epoch: string;
-  revision: number;
+/** Identifies the holder process that assigned the revision numbers. */
+epoch:string;
+revision:number;
 }
 
-export interface ToldChanges extends KnownRevision {
-  /** All runners are told, those left out are gone. */
-  isWhole: boolean;
-  runners: RunnerCopies[];
-  gone: string[];
+export interface CopyChanges extends KnownRevision {
+/** Whether `runners` is the full list, so that missing runners are gone. */
+isWhole:boolean;
+runners:RunnerCopies[];
+gone:string[];
 }
 
-interface Recorded {
-  revision: number;
-  text: string;
-  /** Undefined for a runner that is gone. */
-  runner?: RunnerCopies;
+interface RecordedChange {
+revision:number;
+serialized:string;
+/** Undefined for a removed runner. */
+runner?:RunnerCopies;
 }
 
-/** So many changes back an entry is told what it missed, else all. */
-const KEPT_REVISIONS = 1_000;
+/** An entry that is further behind than this gets the full list. */
+const RETAINED_REVISIONS=1_000;
 
 /**
- * Numbers the changes of what runners hold, so that an entry is told those that
- * it has not heard, not all of them four times a second. With 36 runners and 28
- * entries an order took 160 to 200 ms in the median while all was told, and 20 to
- * 80 ms since, on the same day and holder.
+ * Numbers the changes of what runners hold, so that an entry receives only the
+ * changes that it has missed, not the full list four times a second. With 36
+ * runners and 28 entries, an order took 160 to 200 ms in the median with full
+ * lists and 20 to 80 ms with changes only, on the same day and holder.
  *
  * @example
  * revisions.update(runners);
  * revisions.since(input.known).runners // those that changed since
  */
 export class CopyRevisions {
-  private revision = 0;
-  private readonly byRunner = new Map<string, Recorded>();
+private revision=0;
+private readonly changes=new Map<string,RecordedChange>();
 
-  constructor(private readonly epoch: string) {}
+constructor(private readonly epoch:string) {}
 
-  /** Takes in what all runners hold now. */
-  update(runners: readonly RunnerCopies[]): void {
-    const present = new Set(runners.map(({runnerId}) => runnerId));
-    for (const runner of runners) {
-      const text = JSON.stringify(runner);
-      if (this.byRunner.get(runner.runnerId)?.text !== text) {
-        this.record(runner.runnerId, text, runner);
-      }
-    }
-    for (const [runnerId, {runner, revision}] of this.byRunner) {
-      if (present.has(runnerId)) continue;
-      if (runner) this.record(runnerId, '');
-      else if (revision < this.oldestKept) this.byRunner.delete(runnerId);
-    }
-  }
+/** Records the differences to what all runners held before. */
+update(runners:readonly RunnerCopies[]):void {
+const present=new Set(runners.map(({runnerId})=>runnerId));
+for(const runner of runners) {
+const serialized=JSON.stringify(runner);
+if(this.changes.get(runner.runnerId)?.serialized!==serialized) {
+this.recordChange(runner.runnerId,serialized,runner);
+}
+}
+for(const[runnerId,{runner,revision}] of this.changes) {
+if(present.has(runnerId)) continue;
+if(runner) this.recordChange(runnerId,'');
+else if(revision<this.oldestRetained) this.changes.delete(runnerId);
+}
+}
 
-  since(known: KnownRevision | undefined): ToldChanges {
-    const {epoch, revision} = this;
-    const isWhole =
-      known?.epoch !== epoch ||
-      known.revision < this.oldestKept ||
-      known.revision > revision;
-    const from = isWhole ? 0 : known.revision;
-    const runners: RunnerCopies[] = [];
-    const gone: string[] = [];
-    for (const [runnerId, recorded] of this.byRunner) {
-      if (recorded.revision <= from) continue;
-      if (recorded.runner) runners.push(recorded.runner);
-      else if (!isWhole) gone.push(runnerId);
-    }
-    return {epoch, revision, isWhole, runners, gone};
-  }
+since(known:KnownRevision|undefined):CopyChanges {
+const {epoch,revision}=this;
+const isWhole=known?.epoch!==epoch||known.revision<this.oldestRetained||known.revision>revision;
+const from=isWhole?0:known.revision;
+const runners:RunnerCopies[]=[];
+const gone:string[]=[];
+for(const[runnerId,recorded] of this.changes) {
+if(recorded.revision<=from) continue;
+if(recorded.runner) runners.push(recorded.runner);
+else if(!isWhole) gone.push(runnerId);
+}
+return {epoch,revision,isWhole,runners,gone};
+}
 
-  private get oldestKept(): number {
-    return this.revision - KEPT_REVISIONS;
-  }
+private get oldestRetained():number {
+return this.revision-RETAINED_REVISIONS;
+}
 
-  private record(runnerId: string, text: string, runner?: RunnerCopies): void {
-    this.revision += 1;
-    this.byRunner.set(runnerId, {revision: this.revision, text, runner});
-  }
+private recordChange(runnerId:string,serialized:string,runner?:RunnerCopies):void {
+this.revision+=1;
+this.changes.set(runnerId,{
+revision:this.revision,serialized,runner});
+}
 }
--- a/packages/banyanfold-gateway/src/placement/fleetOutcomes.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetOutcomes.ts
@@ -7,65 +7,65 @@
 import type {RunnerOutcome} from '../runners/outcomeMeter.js';
 import type {FleetView} from '../view/fleetView.js';
 
-/** Outcomes older than this say nothing of a runner's state now. */
+/** Older outcomes are not evidence of a runner's current state. */
 const WINDOW_MS = 3_000;
-const JUDGE_INTERVAL_MS = 250;
-/** A fault of a runner lasts some seconds; then it is tried again. */
+const UPDATE_INTERVAL_MS = 250;
+/** Faults of a runner last some seconds; after this time it is tried again. */
 const EJECTION_MS = 2_000;
-const OPTIONS: EjectionOptions = {
+const EJECTION_OPTIONS: EjectionOptions = {
   minOutcomes: 6,
   minPeers: 3,
   failureMargin: 0.25,
-  // Entries don't tell how long answers took.
+  // Entries don't report response times.
   slowFactor: Number.POSITIVE_INFINITY,
   slowMarginMs: Number.POSITIVE_INFINITY,
   maxEjectedShare: 0.4,
   ejectionMs: EJECTION_MS,
 };
 
-interface Account {
+interface RunnerAccount {
   successes: SlidingWindow;
   failures: SlidingWindow;
   ejectedUntilMs: number;
 }
 
 /**
- * Answers of each runner at all entries. Where entries are many each sees so few
- * answers of one runner that it can't tell a failing one from its peers; together
- * they can within a second.
+ * Aggregates the outcomes of each runner over all entries. With many entries,
+ * each sees too few outcomes of one runner to distinguish a failing runner from
+ * its peers. Together they can within a second.
  */
 export class FleetOutcomes {
-  private readonly accounts = new Map<string, Account>();
-  private judgedMs = Number.NEGATIVE_INFINITY;
+  private readonly accounts = new Map<string, RunnerAccount>();
+  private updatedMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly deps: {clock: Clock; logger: Logger; view: FleetView},
   ) {}
 
-  note(outcomes: readonly RunnerOutcome[]): void {
+  record(outcomes: readonly RunnerOutcome[]): void {
     const nowMs = this.deps.clock.nowMs();
     for (const {runnerId, successes, failures} of outcomes) {
-      const account = this.of(runnerId);
+      const account = this.getOrCreate(runnerId);
       account.successes.add(successes, nowMs);
       account.failures.add(failures, nowMs);
     }
   }
 
-  /** Runners that stand out by their failures, each with how long it is left out. */
-  tell(): Record<string, number> {
+  /** Returns the remaining time of each ejection, by runner. */
+  ejections(): Record<string, number> {
     const nowMs = this.deps.clock.nowMs();
-    if (nowMs - this.judgedMs >= JUDGE_INTERVAL_MS) this.judge(nowMs);
-    const told: Record<string, number> = {};
+    if (nowMs - this.updatedMs >= UPDATE_INTERVAL_MS) this.update(nowMs);
+    const remainingMs: Record<string, number> = {};
     for (const [runnerId, {ejectedUntilMs}] of this.accounts) {
       const leftMs = Math.round(ejectedUntilMs - nowMs);
-      if (leftMs > 0) told[runnerId] = leftMs;
+      if (leftMs > 0) remainingMs[runnerId] = leftMs;
     }
-    return told;
+    return remainingMs;
   }
 
-  private judge(nowMs: number): void {
+  private update(nowMs: number): void {
     const {view, logger} = this.deps;
-    this.judgedMs = nowMs;
+    this.updatedMs = nowMs;
     for (const runnerId of this.accounts.keys()) {
       if (!view.runner(runnerId)) this.accounts.delete(runnerId);
     }
@@ -77,23 +77,26 @@
       ejectedUntilMs: account.ejectedUntilMs,
       peerGroup: view.runner(vmId)?.service,
     }));
-    const {ejected} = decideEjections(outcomes, nowMs, OPTIONS);
+    const {ejected} = decideEjections(outcomes, nowMs, EJECTION_OPTIONS);
     for (const {vmId, untilMs, reason} of ejected) {
-      this.accounts.set(vmId, {...this.created(), ejectedUntilMs: untilMs});
+      this.accounts.set(vmId, {
+        ...this.createAccount(),
+        ejectedUntilMs: untilMs,
+      });
       logger.warn('runner-ejected', {runner: vmId, reason, by: 'fleet'});
     }
   }
 
-  private of(runnerId: string): Account {
+  private getOrCreate(runnerId: string): RunnerAccount {
     let account = this.accounts.get(runnerId);
     if (!account) {
-      account = this.created();
+      account = this.createAccount();
       this.accounts.set(runnerId, account);
     }
     return account;
   }
 
-  private created(): Account {
+  private createAccount(): RunnerAccount {
     return {
       successes: new SlidingWindow(WINDOW_MS),
       failures: new SlidingWindow(WINDOW_MS),
--- a/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
+++ b/packages/banyanfold-gateway/src/placement/fleetRateLimits.ts
@@ -6,91 +6,97 @@
 } from '@banyanfold/decisions';
 import type {RateUse} from '../runners/rateUseMeter.js';
 import {
-  keptMs,
+  limitRetentionMs,
   type FleetRateLimit,
-  type ToldRateLimit,
+  type KnownRateLimit,
 } from '../runners/runnerRateLimits.js';
 
 const WINDOW_MS = DEFAULT_RATE_LIMIT_OPTIONS.windowMs;
 const SMOOTHING_MS = 500;
 const MS_PER_SECOND = 1000;
 
-interface Account {
+interface RunnerAccount {
   perSecond: number | undefined;
-  heardMs: number;
-  /** When this process began to count. */
-  sinceMs: number;
+  receivedMs: number;
+  /** When this process started to count. */
+  countedSinceMs: number;
   used: SlidingWindow;
-  asked: DecayingRate;
+  requested: DecayingRate;
 }
 
-/** Use of rate-limited runners by all entries, as the holder hears of it. */
+/** Use of rate-limited runners by all entries, as reported to the holder. */
 export class FleetRateLimits {
-  private readonly accounts = new Map<string, Account>();
+  private readonly accounts = new Map<string, RunnerAccount>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Takes in what an entry has heard of limits. */
-  noteLimits(limits: readonly ToldRateLimit[]): void {
+  /** Records the limits that an entry knows. */
+  recordLimits(limits: readonly KnownRateLimit[]): void {
     const nowMs = this.clock.nowMs();
-    for (const limit of limits) this.noteLimit(limit, nowMs);
+    for (const limit of limits) this.recordLimit(limit, nowMs);
   }
 
-  /** Takes in what an entry has made of them. */
-  noteUse(uses: readonly RateUse[]): void {
+  /** Records the requests of an entry to rate-limited runners. */
+  recordUse(uses: readonly RateUse[]): void {
     const nowMs = this.clock.nowMs();
     for (const {runnerId, asked, used} of uses) {
       const account = this.accounts.get(runnerId);
-      account?.asked.add(asked, nowMs);
+      account?.requested.add(asked, nowMs);
       account?.used.add(used, nowMs);
     }
   }
 
-  tell(): Record<string, FleetRateLimit> {
+  snapshot(): Record<string, FleetRateLimit> {
     const nowMs = this.clock.nowMs();
-    const told: Record<string, FleetRateLimit> = {};
+    const limits: Record<string, FleetRateLimit> = {};
     for (const [runnerId, account] of this.accounts) {
-      const {perSecond, heardMs} = account;
-      const ageMs = nowMs - heardMs;
-      if (ageMs > keptMs(perSecond)) {
+      const {perSecond, receivedMs} = account;
+      const ageMs = nowMs - receivedMs;
+      if (ageMs > limitRetentionMs(perSecond)) {
         this.accounts.delete(runnerId);
         continue;
       }
-      told[runnerId] = {
+      limits[runnerId] = {
         perSecond,
         ageMs,
-        used: account.used.sum(nowMs) + uncounted(account, nowMs),
-        askedPerSecond: account.asked.perSecond(nowMs),
+        used: account.used.sum(nowMs) + assumedUse(account, nowMs),
+        askedPerSecond: account.requested.perSecond(nowMs),
       };
     }
-    return told;
+    return limits;
   }
 
-  private noteLimit(
-    {runnerId, perSecond, ageMs}: ToldRateLimit,
+  private recordLimit(
+    {runnerId, perSecond, ageMs}: KnownRateLimit,
     nowMs: number,
   ): void {
-    const heardMs = nowMs - ageMs;
-    const known = this.accounts.get(runnerId);
-    if (known && heardMs <= known.heardMs) return;
-    if (ageMs > keptMs(perSecond)) return;
-    if (known) {
-      known.perSecond = perSecond;
-      known.heardMs = heardMs;
+    const receivedMs = nowMs - ageMs;
+    const account = this.accounts.get(runnerId);
+    if (account && receivedMs <= account.receivedMs) return;
+    if (ageMs > limitRetentionMs(perSecond)) return;
+    if (account) {
+      account.perSecond = perSecond;
+      account.receivedMs = receivedMs;
     } else if (perSecond !== undefined) {
       this.accounts.set(runnerId, {
         perSecond,
-        heardMs,
-        sinceMs: nowMs,
+        receivedMs,
+        countedSinceMs: nowMs,
         used: new SlidingWindow(WINDOW_MS),
-        asked: new DecayingRate(SMOOTHING_MS),
+        requested: new DecayingRate(SMOOTHING_MS),
       });
     }
   }
 }
 
-/** Of the window before this process began to count, as if the limit was used. */
-function uncounted({sinceMs, perSecond = 0}: Account, nowMs: number): number {
-  const leftMs = Math.max(0, WINDOW_MS - (nowMs - sinceMs));
-  return (perSecond * leftMs) / MS_PER_SECOND;
+/**
+ * Assumes full use of the limit for the part of the window before counting
+ * started.
+ */
+function assumedUse(
+  {countedSinceMs, perSecond = 0}: RunnerAccount,
+  nowMs: number,
+): number {
+  const uncountedMs = Math.max(0, WINDOW_MS - (nowMs - countedSinceMs));
+  return (perSecond * uncountedMs) / MS_PER_SECOND;
 }
--- /dev/null
+++ b/packages/banyanfold-gateway/src/placement/reportPoller.ts
@@ -0,0 +1,108 @@
+import type {Clock, Logger} from '@banyanfold/core';
+import type {GatewayOptions} from '../options.js';
+import type {RunnerControl, RunnerReport} from '../types.js';
+import {dueReports} from './dueReports.js';
+import type {RunnerController} from './runnerController.js';
+
+/** Interval at which a few reports at a time are requested. */
+export const REPORT_TICK_MS = 50;
+/** Maximum number of unknown runners that are queried at once. */
+const MAX_UNKNOWN_BURST = 32;
+const MS_PER_SECOND = 1000;
+
+export interface ReportPollerOptions {
+  clock: Clock;
+  logger: Logger;
+  control: RunnerControl;
+  options: GatewayOptions;
+  /** Number of cores that the process may use. */
+  processorShare: number;
+  onReport(
+    controller: RunnerController,
+    report: RunnerReport,
+    requestedMs: number,
+  ): void;
+}
+
+/**
+ * Requests the reports of runners at a rate that the holder's processor share
+ * allows.
+ */
+export class ReportPoller {
+  /** Runners whose report was requested and has not arrived yet. */
+  private readonly inFlight = new Set<string>();
+  private readonly lastRequestedMs = new WeakMap<RunnerController, number>();
+  private unknownQuota = MAX_UNKNOWN_BURST;
+  private quotaUpdatedMs: number;
+
+  constructor(private readonly deps: ReportPollerOptions) {
+    this.quotaUpdatedMs = deps.clock.nowMs();
+  }
+
+  /**
+   * Requests the reports that are due, those that have waited longest first.
+   */
+  pollDue(controllers: readonly RunnerController[]): void {
+    const {clock, options, processorShare} = this.deps;
+    const nowMs = clock.nowMs();
+    this.refillQuota(nowMs);
+    const states = controllers
+      .filter(({registration}) => !this.inFlight.has(registration.runnerId))
+      .map(controller => ({
+        key: controller,
+        lastRequestedMs: this.lastRequestedMs.get(controller),
+        isAwaited: controller.isReportDue,
+        isUnknown: isUnknown(controller),
+      }));
+    const due = dueReports(states, nowMs, {
+      tickMs: REPORT_TICK_MS,
+      intervalMs: options.reportIntervalMs,
+      awaitedIntervalMs: options.busyReportIntervalMs,
+      perSecond: options.reportsPerCoreSecond * processorShare,
+      unknownQuota: Math.floor(this.unknownQuota),
+    });
+    for (const controller of due) {
+      if (isUnknown(controller)) this.unknownQuota -= 1;
+      void this.requestReport(controller);
+    }
+  }
+
+  private refillQuota(nowMs: number): void {
+    const {options, processorShare} = this.deps;
+    const perMs =
+      (options.firstReportsPerCoreSecond * processorShare) / MS_PER_SECOND;
+    const replenished = (nowMs - this.quotaUpdatedMs) * perMs;
+    this.unknownQuota = Math.min(
+      MAX_UNKNOWN_BURST,
+      this.unknownQuota + replenished,
+    );
+    this.quotaUpdatedMs = nowMs;
+  }
+
+  private async requestReport(controller: RunnerController): Promise<void> {
+    const {control, logger, clock, onReport} = this.deps;
+    const {runnerId, address} = controller.registration;
+    if (this.inFlight.has(runnerId)) return;
+    this.inFlight.add(runnerId);
+    const requestedMs = clock.nowMs();
+    this.lastRequestedMs.set(controller, requestedMs);
+    const result = await control.report(runnerId, address);
+    this.inFlight.delete(runnerId);
+    if (result.isOk()) return onReport(controller, result.value, requestedMs);
+    controller.recordReportFailure();
+    logger.warn('report-failed', {
+      runner: runnerId,
+      error: result.error.message,
+    });
+  }
+}
+
+/**
+ * Whether no report of the runner has arrived. A runner that doesn't answer is
+ * queried no more often than known ones, and one whose order should be complete
+ * is awaited in any case.
+ */
+function isUnknown(controller: RunnerController): boolean {
+  const {isReady, isReachable, isReportDue} = controller;
+  return !isReady && isReachable && !isReportDue;
+}
--- a/packages/banyanfold-gateway/src/placement/standbyRoster.ts
+++ b/packages/banyanfold-gateway/src/placement/standbyRoster.ts
@@ -1,50 +1,55 @@
 import {chooseStandbys, type StandbyCandidate} from '@banyanfold/decisions';
 
-/** Who stands by is chosen anew at this interval. */
-const CHOOSE_INTERVAL_MS = 500;
+/** Interval at which the standbys are selected again. */
+const SELECTION_INTERVAL_MS = 500;
 /**
- * A holder gives the lease away only after the others have heard for some
- * exchanges whether they stand by: else another that doesn't would get it.
+ * Time for which a new holder remains a standby, so that the other entries
+ * receive the selection in some exchanges first. Otherwise the lease could go
+ * to an entry that is not a standby.
  */
 const SETTLE_MS = 1_000;
 
-/** The entries that stand by for the lease, as their holder chooses them. */
+/** Entries that stand by for the lease, as selected by the holder. */
 export class StandbyRoster {
   private standbys: readonly string[] = [];
-  /** Among whom they were chosen. */
-  private ranked: ReadonlySet<string> = new Set();
-  private chosenMs = Number.NEGATIVE_INFINITY;
-  private held: {term: number; sinceMs: number} | undefined;
+  /** Addresses of the entries that took part in the selection. */
+  private candidates: ReadonlySet<string> = new Set();
+  private selectedMs = Number.NEGATIVE_INFINITY;
+  private heldTerm: {term: number; sinceMs: number} | undefined;
 
   constructor(
     private readonly holder: string,
-    private readonly entriesHeard: (nowMs: number) => StandbyCandidate[],
+    private readonly recentEntries: (nowMs: number) => StandbyCandidate[],
   ) {}
 
   /**
-   * The entries that stand by, in the order in which they take the lease.
+   * Returns the standbys in the order in which they take over the lease.
    *
-   * @param asking the entries for which it is asked.
-   * @param term of the lease; a holder of a new one keeps it for a while.
+   * @param requesters the entries that receive the list.
+   * @param term term of the lease; the holder remains a standby early in a new
+   *   term.
    */
   current(
-    asking: readonly StandbyCandidate[],
+    requesters: readonly StandbyCandidate[],
     term: number,
     nowMs: number,
   ): string[] {
-    if (this.held?.term !== term) this.held = {term, sinceMs: nowMs};
-    const isDue = nowMs - this.chosenMs >= CHOOSE_INTERVAL_MS;
-    // An entry that has just come would be told to leave, and to come back.
-    const isNewcomer = asking.some(({address}) => !this.ranked.has(address));
-    if (isDue || isNewcomer) this.choose(nowMs);
-    const isNew = nowMs - this.held.sinceMs < SETTLE_MS;
-    return isNew ? [...this.standbys, this.holder] : [...this.standbys];
+    if (this.heldTerm?.term !== term) this.heldTerm = {term, sinceMs: nowMs};
+    const isDue = nowMs - this.selectedMs >= SELECTION_INTERVAL_MS;
+    // A new entry would otherwise be told to leave the group and to rejoin
+    // shortly after.
+    const hasUnknownRequester = requesters.some(
+      ({address}) => !this.candidates.has(address),
+    );
+    if (isDue || hasUnknownRequester) this.select(nowMs);
+    const isNewHolder = nowMs - this.heldTerm.sinceMs < SETTLE_MS;
+    return isNewHolder ? [...this.standbys, this.holder] : [...this.standbys];
   }
 
-  private choose(nowMs: number): void {
-    const heard = this.entriesHeard(nowMs);
-    this.chosenMs = nowMs;
-    this.ranked = new Set(heard.map(({address}) => address));
-    this.standbys = [...chooseStandbys(heard, this.holder)];
+  private select(nowMs: number): void {
+    const entries = this.recentEntries(nowMs);
+    this.selectedMs = nowMs;
+    this.candidates = new Set(entries.map(({address}) => address));
+    this.standbys = [...chooseStandbys(entries, this.holder)];
   }
 }
--- a/packages/banyanfold-gateway/src/placement/copyRunnerOf.ts
+++ b/packages/banyanfold-gateway/src/placement/toCopyRunner.ts
@@ -2,8 +2,11 @@
 import type {EngineSpec} from '../types.js';
 import type {RunnerController} from './runnerController.js';
 
-/** A runner as the plan of copies sees it, but for the requests under way. */
-export function copyRunnerOf(
+/**
+ * Converts a runner to the input of the placement planner, without the requests
+ * in progress.
+ */
+export function toCopyRunner(
   controller: RunnerController,
   engine: EngineSpec,
 ): Omit<CopyRunner, 'inUse'> {
@@ -18,12 +21,12 @@
     weightsMb: engine.weightsMb,
     reservedMb: engine.adapterSlots * adapterMb,
     models: [...controller.models],
-    isBusy: controller.isBusy || !controller.isKnown,
-    isUnresponsive: controller.isSilent,
+    isBusy: controller.isBusy || !controller.isReady,
+    isUnresponsive: controller.isUnresponsive,
     inMemory: controller.inMemory,
     onDisk: controller.onDisk,
     intendedModel: controller.intendedModel,
-    loadingModel: controller.loading,
-    loadingLeftMs: controller.leftMs,
+    loadingModel: controller.loadingModel,
+    loadingLeftMs: controller.remainingMs,
   };
 }
--- a/packages/banyanfold-gateway/src/requests/admissionChecks.ts
+++ b/packages/banyanfold-gateway/src/requests/admissionChecks.ts
@@ -69,7 +69,7 @@
   checkCopyWait(): CopyRefusal | undefined {
     const {context, request} = this.options;
     if (request.model === undefined) return undefined;
-    const copyInMs = context.heldCopies.copyInMs(request.model);
+    const copyInMs = context.heldCopies.copyDelayMs(request.model);
     const view = {...this.remainingTimes(), copyInMs};
     const decision = decideWait(view);
     return decision.kind === 'refuse' ? {view, decision} : undefined;
@@ -78,7 +78,7 @@
   private slotsOf(runnerId: string): number | undefined {
     const {view} = this.options.context;
     const service = view.runner(runnerId)?.service;
-    return view.current?.services.get(service ?? '')?.engine?.slots;
+    return view.currentConfig?.services.get(service ?? '')?.engine?.slots;
   }
 
   private remainingTimes(): {leftMs: number; deadlineLeftMs: number} {
--- a/packages/banyanfold-gateway/src/requests/requestHandler.ts
+++ b/packages/banyanfold-gateway/src/requests/requestHandler.ts
@@ -3,7 +3,7 @@
 import type {Timer} from '@banyanfold/core';
 import type {GatewayContext} from '../context.js';
 import {adapterKey} from '../runners/heldCopies.js';
-import type {PromptTurn} from '../runners/promptGate.js';
+import type {PromptPermit} from '../runners/promptGate.js';
 import type {StartedWork} from '../runners/runnerStates.js';
 import type {CallerIdentity} from '../callers/callerIdentity.js';
 import type {DecodedRequest, Organisation, RoutePolicy} from '../types.js';
@@ -90,7 +90,7 @@
   private hasLoggedWait = false;
   private stopWaiting: (() => void) | undefined;
   private nextBackoffMs = 0;
-  private promptTurn: PromptTurn | undefined;
+  private promptTurn: PromptPermit | undefined;
 
   constructor(private readonly options: RequestHandlerOptions) {
     const {context, request, route, decoded, body, startedMs, response} =
@@ -185,10 +185,10 @@
     if (this.suspect.verdict === 'quarantined') return this.endQuarantined();
     if (this.refuseIfOverCap()) return;
     if (model !== undefined) {
-      const {leastUrgent} = context.view;
+      const {lowestPriority: leastUrgent} = context.view;
       const urgency = priorityWeight(this.options.route.priority, leastUrgent);
       const tokens = {promptTokens, maxOutputTokens};
-      context.demand.noteArrival({model, adapter, urgency, ...tokens});
+      context.demand.recordArrival({model, adapter, urgency, ...tokens});
       context.workForecast.note(model, this.requestWork.work.prefill);
     }
     context.retryBudgetOf(this.service).noteAttempt();
@@ -226,14 +226,14 @@
   private async tryRunner(target: Target): Promise<AttemptResult | undefined> {
     const {runnerId} = target.runner;
     const {rateLimits} = this.options.context;
-    const permit = rateLimits.take(runnerId);
+    const permit = rateLimits.acquire(runnerId);
     if (permit.kind === 'refuse') {
       this.targets.noteRateLimited(runnerId, permit.retryAfterMs);
       return undefined;
     }
     const result = await this.sendTo(target);
     const isSent = result !== undefined && result.kind !== 'unreached';
-    if (permit.kind === 'admit' && !isSent) rateLimits.giveBack(runnerId);
+    if (permit.kind === 'admit' && !isSent) rateLimits.release(runnerId);
     if (result && !this.isFinished) this.handleResult(target, result);
     return result;
   }
@@ -363,7 +363,7 @@
     const {context, decoded} = this.options;
     const {model} = decoded.request;
     if (model === undefined) return;
-    this.stopWaiting ??= context.demand.noteWaiting(model);
+    this.stopWaiting ??= context.demand.trackWaiting(model);
   }
 
   private clearWaiting(): void {
@@ -396,14 +396,14 @@
       runner.runnerId,
       route.priority,
     );
-    context.runnerStates.noteStart(
+    context.runnerStates.recordStart(
       runner.runnerId,
       this.service,
       this.requestWork,
     );
     const isPrompt = decoded.request.model !== undefined;
     this.promptTurn = isPrompt
-      ? context.promptGate.enter(
+      ? context.promptGate.acquire(
           runner.runnerId,
           route.priority,
           this.options.startedMs,
@@ -411,15 +411,15 @@
       : undefined;
     const waitMs = route.targetMs * MAX_TURN_WAIT_SHARE;
     const turnTimer = context.clock.setTimer(waitMs, () =>
-      this.promptTurn?.goAhead(),
+      this.promptTurn?.grantNow(),
     );
-    const isTurnGranted = (await this.promptTurn?.come) ?? true;
+    const isTurnGranted = (await this.promptTurn?.granted) ?? true;
     turnTimer.cancel();
     const isUsable =
       isTurnGranted && !this.isFinished && !this.endIfAccessRevoked();
     if (!isUsable || !this.targets.isStillUsable(runner)) {
-      this.promptTurn?.giveBack();
-      context.runnerStates.noteEnd(runner.runnerId, this.requestWork, false);
+      this.promptTurn?.release();
+      context.runnerStates.recordEnd(runner.runnerId, this.requestWork, false);
       return undefined;
     }
     return this.send(target, aheadWork);
@@ -433,7 +433,7 @@
     const {runner} = target;
     const nowMs = context.clock.nowMs();
     const connection = context.connections.acquire(runner.address);
-    this.log.route(target, this.counts, connection.used);
+    this.log.route(target, this.counts, connection.isReused);
     const headers = context.codec.encodeAttempt(decoded, {
       runnerId: runner.runnerId,
       remainingMs: this.deadlineMs - nowMs,
@@ -455,20 +455,20 @@
       {
         runnerId: runner.runnerId,
         onResponseInfo: info =>
-          context.rateLimits.noteAnswer(runner.runnerId, info, nowMs),
+          context.rateLimits.recordAnswer(runner.runnerId, info, nowMs),
         onFirstByte: () => {
           isPromptRead = true;
-          this.promptTurn?.giveBack();
+          this.promptTurn?.release();
           const tookMs = context.clock.nowMs() - nowMs;
-          context.runnerStates.noteRead(runner.runnerId, this.requestWork, {
+          context.runnerStates.recordPromptRead(runner.runnerId, this.requestWork, {
             aheadWork,
             tookMs,
           });
         },
       },
     );
-    this.promptTurn?.giveBack();
-    context.runnerStates.noteEnd(
+    this.promptTurn?.release();
+    context.runnerStates.recordEnd(
       runner.runnerId,
       this.requestWork,
       isPromptRead,
@@ -493,7 +493,7 @@
       case 'delivered':
         this.suspect.noteAnswered();
         this.notePace(runnerId);
-        context.runnerStates.noteOutcome(
+        context.runnerStates.recordOutcome(
           runnerId,
           result.isSuccess,
           result.firstByteMs,
@@ -501,12 +501,12 @@
         this.finish('answered', result.status);
         return;
       case 'unreached':
-        context.runnerStates.noteUnreachable(runnerId, this.service);
+        context.runnerStates.markUnreachable(runnerId, this.service);
         this.retryOrFail(target, result);
         return;
       case 'rejected':
         if (result.fromOtherRunner) {
-          context.runnerStates.noteUnreachable(runnerId, this.service);
+          context.runnerStates.markUnreachable(runnerId, this.service);
         } else {
           this.noteRejection(target, result.status);
         }
@@ -517,7 +517,7 @@
         if (result.kind === 'failed') this.suspect.noteAnswered();
         this.attemptsMade += 1;
         this.mayHaveRun = true;
-        context.runnerStates.noteOutcome(runnerId, false);
+        context.runnerStates.recordOutcome(runnerId, false);
         this.retryOrFail(target, result);
         return;
       default:
@@ -530,7 +530,7 @@
     const {longestPauseMs} = this.relay;
     const {pauseTargetMs} = route;
     if (longestPauseMs === undefined || pauseTargetMs === undefined) return;
-    context.promptGate.notePace(runnerId, {longestPauseMs, pauseTargetMs});
+    context.promptGate.recordPace(runnerId, {longestPauseMs, pauseTargetMs});
   }
 
   private noteRejection({runner, needsAdapter}: Target, status: number): void {
@@ -538,7 +538,7 @@
     const {model, adapter} = decoded.request;
     const isAbsent = status === MISDIRECTED_REQUEST;
     if (isAbsent && model !== undefined) {
-      context.heldCopies.noteAbsent(
+      context.heldCopies.markAbsent(
         runner.runnerId,
         model,
         needsAdapter || adapter !== undefined ? adapter : undefined,
@@ -655,7 +655,7 @@
     // Every attempt was rejected or reached no runner, so nothing has run.
     if (this.sendCount <= this.rejections) this.usageCharge.refund();
     this.clearWaiting();
-    this.promptTurn?.giveBack();
+    this.promptTurn?.release();
     this.pause.wake();
     const {context, route} = this.options;
     context.metrics.count('requests_total', {kind: route.kind, outcome});
--- a/packages/banyanfold-gateway/src/requests/responseRelay.ts
+++ b/packages/banyanfold-gateway/src/requests/responseRelay.ts
@@ -176,7 +176,7 @@
           return;
         }
         const endedResponse = incoming;
-        void connection.endedInOrder().then(isComplete => {
+        void connection.endedCleanly().then(isComplete => {
           if (!this.inFlight) return;
           if (isComplete) settle(this.complete(endedResponse, splitter));
           else settle(closedByRunnerResult('response truncated by a reset'));
--- a/packages/banyanfold-gateway/src/requests/targetChooser.ts
+++ b/packages/banyanfold-gateway/src/requests/targetChooser.ts
@@ -52,7 +52,7 @@
         openWork: context.runnerStates.openWork(runner.runnerId),
         hasAdapter: this.hasAdapter(runner.runnerId),
         isSuspect:
-          context.runnerStates.isSuspect(runner.runnerId) ||
+          context.runnerStates.isEjected(runner.runnerId) ||
           context.promptGate.isStalled(runner.runnerId),
       }),
     );
--- a/packages/banyanfold-gateway/src/runners/heldCopies.ts
+++ b/packages/banyanfold-gateway/src/runners/heldCopies.ts
@@ -1,103 +1,113 @@
-import type {ToldChanges} from '../placement/copyRevisions.js';
+import type {CopyChanges} from '../placement/copyRevisions.js';
 import type {FleetView} from '../view/fleetView.js';
 
-/** What one runner holds, as the holder of orders last told. */
-interface ToldCopies {
+/** What one runner holds according to the last report of the holder. */
+interface ReportedCopies {
   models: ReadonlySet<string>;
   adapters: Set<string>;
-  /** No adapter can be fetched now. */
+  /** Whether no adapter can be fetched at the moment. */
   isBusy: boolean;
 }
 
-/** @example adapterKey('m1', 'a3') // 'm1/a3' */
+/**
+ * Returns the key of an adapter in sets and messages.
+ *
+ * @example adapterKey('m1', 'a3') // 'm1/a3'
+ */
 export function adapterKey(model: string, adapter: string): string {
   return `${model}/${adapter}`;
 }
 
-/** Reports are asked for twice a second and told four times a second. */
-const ABSENT_MS = 800;
+/** Covers one report interval (0.5 s) and one exchange interval (0.25 s). */
+const ABSENCE_MS = 800;
 
-/** Until another holder may order, and a load is over. */
-const NO_HOLDER_MS = 4_000;
+/** Time until another holder can send orders and a load is complete. */
+const NO_HOLDER_DELAY_MS = 4_000;
 
 /**
- * What runners hold. The holder of orders knows first, because it gives them;
- * registrations tell the same a heartbeat later and serve while none is heard.
+ * Tracks which models and adapters each runner holds. The holder of the lease
+ * knows first because it sends the orders. Registrations contain the same one
+ * heartbeat later and are used while no holder answers.
  */
 export class HeldCopies {
-  private readonly told = new Map<string, ToldCopies>();
+  private readonly reported = new Map<string, ReportedCopies>();
   /**
-   * By runner and copy. A request looks at every runner; one key of both, built for
-   * each look, took 226 of the 4,626 ms that a holder was busy within 10 s.
+   * Expiry times by runner and copy. Each request checks every runner; building
+   * a combined key for each check took 226 of the 4,626 ms that a holder was
+   * busy within 10 s.
    */
   private readonly absentUntilMs = new Map<string, Map<string, number>>();
-  private copyAtMs = new Map<string, number>();
-  private toldAtMs = Number.NEGATIVE_INFINITY;
+  private copyExpectedMs = new Map<string, number>();
+  private reportedMs = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly view: FleetView,
     private readonly nowMs: () => number,
-    /** What the holder told counts this long without its saying it again. */
+    /** How long a report of the holder stays valid without being renewed. */
     private readonly freshMs: number,
   ) {}
 
-  /** Since the holder last told; infinite before it did. */
+  /**
+   * Time since the last report of the holder; infinite before the first one.
+   */
   get ageMs(): number {
-    return this.nowMs() - this.toldAtMs;
+    return this.nowMs() - this.reportedMs;
   }
 
   holdsModel(runnerId: string, model: string): boolean {
     if (this.isAbsent(runnerId, model)) return false;
-    const told = this.toldOf(runnerId);
-    if (told) return told.models.has(model);
-    return this.registered(runnerId, model) !== undefined;
+    const held = this.reportedCopies(runnerId);
+    if (held) return held.models.has(model);
+    return this.registeredModel(runnerId, model) !== undefined;
   }
 
   holdsAdapter(runnerId: string, model: string, adapter: string): boolean {
     const key = adapterKey(model, adapter);
     if (this.isAbsent(runnerId, key)) return false;
-    const told = this.toldOf(runnerId);
-    if (told) return told.adapters.has(key);
+    const held = this.reportedCopies(runnerId);
+    if (held) return held.adapters.has(key);
     return (
-      this.registered(runnerId, model)?.adapters.includes(adapter) ?? false
+      this.registeredModel(runnerId, model)?.adapters.includes(adapter) ?? false
     );
   }
 
   /** Whether an adapter can be fetched to a runner now. */
   canFetch(runnerId: string): boolean {
-    return !(this.toldOf(runnerId)?.isBusy ?? false);
+    return !(this.reportedCopies(runnerId)?.isBusy ?? false);
   }
 
   /**
-   * Until a copy serves; undefined when the holder has told nothing of it. While
-   * no holder is heard nobody orders a copy, and callers who wait for one leave.
+   * Estimated time until a copy serves; undefined if the holder has not
+   * reported on it. Without a holder no copy is ordered, and requests that wait
+   * for one time out.
    */
-  copyInMs(model: string): number | undefined {
+  copyDelayMs(model: string): number | undefined {
     if (this.ageMs === Number.POSITIVE_INFINITY) return undefined;
-    if (this.ageMs > this.freshMs) return NO_HOLDER_MS;
-    const atMs = this.copyAtMs.get(model);
+    if (this.ageMs > this.freshMs) return NO_HOLDER_DELAY_MS;
+    const atMs = this.copyExpectedMs.get(model);
     if (atMs === undefined) return undefined;
     return Math.max(0, atMs - this.nowMs());
   }
 
-  tellCopiesInMs(copiesInMs: Readonly<Record<string, number>>): void {
+  setCopyDelays(copiesInMs: Readonly<Record<string, number>>): void {
     const nowMs = this.nowMs();
-    this.copyAtMs = new Map(
+    this.copyExpectedMs = new Map(
       Object.entries(copiesInMs).map(([model, inMs]) => [model, nowMs + inMs]),
     );
   }
 
   /**
-   * Takes in what the holder told.
+   * Applies the changes that the holder reported.
    *
-   * @param ageMs since the holder said it; a relay passes its word on later.
+   * @param ageMs time since the holder reported them, which is longer through a
+   *   relay.
    */
-  tell({isWhole, runners, gone}: ToldChanges, ageMs = 0): void {
-    this.toldAtMs = this.nowMs() - ageMs;
-    if (isWhole) this.told.clear();
-    for (const runnerId of gone) this.told.delete(runnerId);
+  applyChanges({isWhole, runners, gone}: CopyChanges, ageMs = 0): void {
+    this.reportedMs = this.nowMs() - ageMs;
+    if (isWhole) this.reported.clear();
+    for (const runnerId of gone) this.reported.delete(runnerId);
     for (const {runnerId, models, adapters, isBusy} of runners) {
-      this.told.set(runnerId, {
+      this.reported.set(runnerId, {
         models: new Set(models),
         adapters: new Set(adapters),
         isBusy,
@@ -105,25 +115,27 @@
     }
   }
 
-  /** It has started again and holds what it registers, nothing of before. */
-  noteRestart(runnerId: string): void {
-    this.told.delete(runnerId);
+  /**
+   * Drops what the runner held before its restart; its registration applies.
+   */
+  handleRestart(runnerId: string): void {
+    this.reported.delete(runnerId);
   }
 
-  noteAdapter(runnerId: string, model: string, adapter: string): void {
+  addAdapter(runnerId: string, model: string, adapter: string): void {
     const key = adapterKey(model, adapter);
-    this.told.get(runnerId)?.adapters.add(key);
+    this.reported.get(runnerId)?.adapters.add(key);
     this.absentUntilMs.get(runnerId)?.delete(key);
   }
 
   /**
-   * A runner said that something isn't there after all. What is told or
-   * registered may go on naming it for a while, and a request would be sent to
-   * the same runner again and again.
+   * Records that a runner refused a request because it doesn't hold the copy.
+   * Reports and registrations may still list the copy for a while, and requests
+   * would be routed to the same runner repeatedly.
    */
-  noteAbsent(runnerId: string, model: string, adapter?: string): void {
+  markAbsent(runnerId: string, model: string, adapter?: string): void {
     const copy = adapter === undefined ? model : adapterKey(model, adapter);
-    const untilMs = this.nowMs() + ABSENT_MS;
+    const untilMs = this.nowMs() + ABSENCE_MS;
     const copies =
       this.absentUntilMs.get(runnerId) ?? new Map<string, number>();
     copies.set(copy, untilMs);
@@ -132,20 +144,20 @@
 
   private isAbsent(runnerId: string, copy: string): boolean {
     const copies = this.absentUntilMs.get(runnerId);
-    const untilMs = copies?.get(copy);
-    if (copies === undefined || untilMs === undefined) return false;
-    if (this.nowMs() < untilMs) return true;
+    const absentUntilMs = copies?.get(copy);
+    if (copies === undefined || absentUntilMs === undefined) return false;
+    if (this.nowMs() < absentUntilMs) return true;
     copies.delete(copy);
     if (copies.size === 0) this.absentUntilMs.delete(runnerId);
     return false;
   }
 
-  private toldOf(runnerId: string): ToldCopies | undefined {
-    if (this.nowMs() - this.toldAtMs > this.freshMs) return undefined;
-    return this.told.get(runnerId);
+  private reportedCopies(runnerId: string): ReportedCopies | undefined {
+    if (this.nowMs() - this.reportedMs > this.freshMs) return undefined;
+    return this.reported.get(runnerId);
   }
 
-  private registered(runnerId: string, model: string) {
+  private registeredModel(runnerId: string, model: string) {
     return this.view.runner(runnerId)?.models?.find(({name}) => name === model);
   }
 }
--- a/packages/banyanfold-gateway/src/runners/runnerConnections.ts
+++ b/packages/banyanfold-gateway/src/runners/runnerConnections.ts
@@ -3,35 +3,35 @@
 import {buildConnector, Client, type Dispatcher} from 'undici';
 import type {GatewayOptions} from '../options.js';
 
-const NEVER_MS = 0;
-/** A runner's word of its idle timeout is kept to with this much to spare. */
-const IDLE_MARGIN_MS = 300;
+const NO_TIMEOUT_MS = 0;
+/** Safety margin before the idle timeout that a runner announces. */
+const KEEP_ALIVE_MARGIN_MS = 300;
 
-/** One connection to a runner; it carries one request at a time. */
+/** One connection to a runner, which carries one request at a time. */
 export class RunnerConnection {
   readonly client: Client;
-  /** True once the connection has ever been established. */
+  /** True once the connection has been established. */
   established = false;
-  /** True when it was used for a request before this one. */
-  used = false;
+  /** Whether the connection carried a request before the current one. */
+  isReused = false;
   closed = false;
   idleSinceMs = 0;
   private socket: Socket | undefined;
-  private lastWrite: Promise<boolean> | undefined;
+  private endProbe: Promise<boolean> | undefined;
 
   constructor(address: string, options: GatewayOptions) {
     const connect = buildConnector({timeout: options.connectTimeoutMs});
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
-      headersTimeout: NEVER_MS,
-      bodyTimeout: NEVER_MS,
+      headersTimeout: NO_TIMEOUT_MS,
+      bodyTimeout: NO_TIMEOUT_MS,
       keepAliveTimeout: options.runnerIdleMs,
       keepAliveMaxTimeout: options.runnerIdleMs,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
       connect: (target, done) => {
         connect(target, (error, socket) => {
           if (error || !socket) {
-            done(error ?? new Error('no socket'), null);
+            done(error ?? new Error('connector returned no socket'), null);
             return;
           }
           this.established = true;
@@ -47,18 +47,20 @@
   }
 
   /**
-   * Whether the runner closed the connection in order, asked at its end.
+   * Whether the runner closed the connection cleanly. Call it when the response
+   * has ended.
    *
-   * An answer without a length is whole only then. When the last bytes and a
-   * reset arrive together, the runtime reports an ordinary end, and the caller
-   * would get the first part as a whole answer. A connection that was reset
-   * refuses a write at once, while one that the other side closed in order
-   * still takes it, so a blank line, which servers skip, tells them apart.
+   * Only a clean close shows that a response without a length is complete. When
+   * the last bytes and a reset arrive together, the runtime reports an ordinary
+   * end, and a truncated response would be forwarded as complete. A connection
+   * that was reset fails a write at once, while one that the other side closed
+   * cleanly still accepts it. A blank line, which servers skip, therefore
+   * distinguishes the two.
    */
-  async endedInOrder(): Promise<boolean> {
+  async endedCleanly(): Promise<boolean> {
     const {socket} = this;
     if (!socket || socket.errored !== null) return false;
-    return (await this.lastWrite) ?? false;
+    return (await this.endProbe) ?? false;
   }
 
   dispatch(
@@ -69,7 +71,7 @@
   }
 
   private probeEnd(socket: Socket): void {
-    this.lastWrite = new Promise(resolve => {
+    this.endProbe = new Promise(resolve => {
       socket.write('\r\n', error => resolve(!error));
     });
   }
@@ -78,12 +80,12 @@
     if (this.closed) return;
     this.closed = true;
     void this.client.destroy().catch(() => {
-      // Destroying fails only for a client that is destroyed already.
+      // `destroy` fails only for a client that is already destroyed.
     });
   }
 }
 
-/** Kept connections to each runner address. */
+/** Pool of keep-alive connections by runner address. */
 export class RunnerConnections {
   private readonly idle = new Map<string, RunnerConnection[]>();
   opened = 0;
@@ -93,7 +95,7 @@
     private readonly options: GatewayOptions,
   ) {}
 
-  /** The connection that rested longest, or a new one. */
+  /** Returns the connection that has been idle longest, or a new one. */
   acquire(address: string): RunnerConnection {
     const nowMs = this.clock.nowMs();
     const resting = this.idle.get(address);
@@ -101,13 +103,13 @@
       const oldest = resting[0]!;
       if (
         !oldest.closed &&
-        this.restedMs(oldest, nowMs) < this.options.reuseRestMs
+        this.idleMs(oldest, nowMs) < this.options.reuseRestMs
       ) {
         break;
       }
       resting.shift();
       if (oldest.closed) continue;
-      if (this.restedMs(oldest, nowMs) < this.options.runnerIdleMs) {
+      if (this.idleMs(oldest, nowMs) < this.options.runnerIdleMs) {
         return oldest;
       }
       oldest.destroy();
@@ -116,23 +118,23 @@
     return new RunnerConnection(address, this.options);
   }
 
-  /** Gives a connection back after a whole answer. */
+  /** Returns a connection to the pool after a complete response. */
   release(address: string, connection: RunnerConnection): void {
     if (connection.closed) return;
-    connection.used = true;
+    connection.isReused = true;
     connection.idleSinceMs = this.clock.nowMs();
     const resting = this.idle.get(address);
     if (resting) resting.push(connection);
     else this.idle.set(address, [connection]);
   }
 
-  /** Closes what rests longer than connections are kept. */
+  /** Closes connections that have been idle for longer than the timeout. */
   closeIdle(): void {
     const nowMs = this.clock.nowMs();
     for (const [address, resting] of this.idle) {
       const kept = resting.filter(connection => {
         const isOld =
-          this.restedMs(connection, nowMs) >= this.options.runnerIdleMs;
+          this.idleMs(connection, nowMs) >= this.options.runnerIdleMs;
         if (isOld) connection.destroy();
         return !connection.closed;
       });
@@ -141,7 +143,7 @@
     }
   }
 
-  private restedMs(connection: RunnerConnection, nowMs: number): number {
+  private idleMs(connection: RunnerConnection, nowMs: number): number {
     return nowMs - connection.idleSinceMs;
   }
 }
