--- a/packages/banyanfold-gateway/src/gateway.ts
+++ b/packages/banyanfold-gateway/src/gateway.ts
@@ -1,5 +1,5 @@
 import type {Server} from 'node:http';
-import type {Clock,Logger,Metrics} from '@banyanfold/core';
+import type {Clock, Logger, Metrics} from '@banyanfold/core';
 import type {GatewayContext} from './context.js';
 import {UsageAccounts} from './callers/usageAccounts.js';
 import {UsageKeeper} from './callers/usageKeeper.js';
@@ -9,17 +9,17 @@
 import {probeListener} from './crashes/probeListener.js';
 import {QuarantineKeeper} from './crashes/quarantineKeeper.js';
 import {GatewayServer} from './gatewayServer.js';
-import {DEFAULT_OPTIONS,type GatewayOptions} from './options.js';
-import {ConfigFetcher,encodePeerConfig} from './peers/configFetcher.js';
+import {DEFAULT_OPTIONS, type GatewayOptions} from './options.js';
+import {ConfigFetcher, encodePeerConfig} from './peers/configFetcher.js';
 import {HolderLink} from './peers/holderLink.js';
-import {fetchPeerConfig,offerLease} from './peers/peerClient.js';
-import type {LeaseHandover,PeerHandlers} from './peers/peerContract.js';
+import {fetchPeerConfig, offerLease} from './peers/peerClient.js';
+import type {LeaseHandover, PeerHandlers} from './peers/peerContract.js';
 import {PeerServer} from './peers/peerServer.js';
 import {DemandMeter} from './placement/demandMeter.js';
 import {LeaseHolder} from './placement/leaseHolder.js';
 import {LoadRate} from './placement/loadRate.js';
 import {repeatEvery} from './repeatEvery.js';
-import {createMetricsServer,createReadinessServer} from './readinessServer.js';
+import {createMetricsServer, createReadinessServer} from './readinessServer.js';
 import {HeldCopies} from './runners/heldCopies.js';
 import {PromptGate} from './runners/promptGate.js';
 import {RunnerRateLimits} from './runners/runnerRateLimits.js';
@@ -28,193 +28,329 @@
 import {RetryBudgets} from './requests/retryBudgets.js';
 import {RunnerStates} from './runners/runnerStates.js';
 import type {
-FleetSource,LeaseSource,ListenAddress,QuarantineStore,RequestCodec,RunnerControl,UsageStore} from './types.js';
+  FleetSource,
+  LeaseSource,
+  ListenAddress,
+  QuarantineStore,
+  RequestCodec,
+  RunnerControl,
+  UsageStore,
+} from './types.js';
 import {FleetView} from './view/fleetView.js';
 
 /** Limits that the deployment sets on the system. */
 export interface DeploymentBounds {
-/** Time from the signal to stop until the process must have ended. */
-graceMs:number;
-/** Retries allowed per request. */
-retryRatio:number;
-/** Retries allowed per window in addition, over all entries. */
-retrySlack:number;
-retryWindowMs:number;
-/** The window over which loads from the weight store are limited. */
-loadWindowMs:number;
-/** Time from its acknowledgement until a configuration applies everywhere. */
-configApplyMs:number;
-/**
+  /** Time from the signal to stop until the process must have ended. */
+  graceMs: number;
+  /** Retries allowed per request. */
+  retryRatio: number;
+  /** Retries allowed per window in addition, over all entries. */
+  retrySlack: number;
+  retryWindowMs: number;
+  /** The window over which loads from the weight store are limited. */
+  loadWindowMs: number;
+  /** Time from its acknowledgement until a configuration applies everywhere. */
+  configApplyMs: number;
+  /**
    * How long keys are accepted after the configuration was last confirmed;
    * undefined if without limit.
    */
-keysTrustedMs?:number;
-/** Length of the window over which usage is summed up. */
-usageWindowMs:number;
+  keysTrustedMs?: number;
+  /** Length of the window over which usage is summed up. */
+  usageWindowMs: number;
 }
 
 export interface GatewaySettings {
-failureDomain:string;
-/** CPU cores that the process may use; may be a fraction. */
-processorShare:number;
-callers:ListenAddress;
-readiness:ListenAddress;
-peers:ListenAddress;
-/** No metrics are served if undefined. */
-metrics?:ListenAddress;
-bounds:DeploymentBounds;
-/** The whole system starts for the first time. */
-isFirstStart:boolean;
+  failureDomain: string;
+  /** CPU cores that the process may use; may be a fraction. */
+  processorShare: number;
+  callers: ListenAddress;
+  readiness: ListenAddress;
+  peers: ListenAddress;
+  /** No metrics are served if undefined. */
+  metrics?: ListenAddress;
+  bounds: DeploymentBounds;
+  /** The whole system starts for the first time. */
+  isFirstStart: boolean;
 }
 
 export interface GatewayDependencies {
-clock:Clock;
-logger:Logger;
-metrics:Metrics;
-settings:GatewaySettings;
-options?:Partial<GatewayOptions>;
-codec:RequestCodec;
-fleet:FleetSource;
-lease:LeaseSource;
-control:RunnerControl;
-quarantine:QuarantineStore;
-usage:UsageStore;
-random?:()=>number;
+  clock: Clock;
+  logger: Logger;
+  metrics: Metrics;
+  settings: GatewaySettings;
+  options?: Partial<GatewayOptions>;
+  codec: RequestCodec;
+  fleet: FleetSource;
+  lease: LeaseSource;
+  control: RunnerControl;
+  quarantine: QuarantineStore;
+  usage: UsageStore;
+  random?: () => number;
 }
 
 /** The holder's state is used for this long; three exchanges may be lost. */
-const HOLDER_STATE_TTL_MS=1_500;
+const HOLDER_STATE_TTL_MS = 1_500;
 /** Number of entries assumed until the holder has reported it. */
-const ASSUMED_ENTRY_COUNT=8;
-const MAINTENANCE_INTERVAL_MS=500;
-const DRAIN_POLL_MS=50;
+const ASSUMED_ENTRY_COUNT = 8;
+const MAINTENANCE_INTERVAL_MS = 500;
+const DRAIN_POLL_MS = 50;
 /** Reserved to leave the group, or to offer peers the lease without a store. */
-const RELEASE_MS=2_000;
+const RELEASE_MS = 2_000;
 
 /** The gateway process on an entry VM. */
 export class Gateway {
-readonly view:FleetView;
-private readonly context:GatewayContext;
-private readonly callerServer:GatewayServer;
-private readonly readinessServer:Server;
-private readonly metricsServer:Server;
-private readonly peerServer:PeerServer;
-private readonly holder:LeaseHolder;
-private readonly holderLink:HolderLink;
-private readonly quarantineKeeper:QuarantineKeeper;
-private readonly configFetcher:ConfigFetcher;
-private readonly usageKeeper:UsageKeeper;
-private stopMaintenance:()=>void=()=>{};
-private entryCount=ASSUMED_ENTRY_COUNT;
-private lastMaintenanceMs=0;
-private isDraining=false;
-private drainDeadlineMs:number|undefined;
+  readonly view: FleetView;
+  private readonly context: GatewayContext;
+  private readonly callerServer: GatewayServer;
+  private readonly readinessServer: Server;
+  private readonly metricsServer: Server;
+  private readonly peerServer: PeerServer;
+  private readonly holder: LeaseHolder;
+  private readonly holderLink: HolderLink;
+  private readonly quarantineKeeper: QuarantineKeeper;
+  private readonly configFetcher: ConfigFetcher;
+  private readonly usageKeeper: UsageKeeper;
+  private stopMaintenance: () => void = () => {};
+  private entryCount = ASSUMED_ENTRY_COUNT;
+  private lastMaintenanceMs = 0;
+  private isDraining = false;
+  private drainDeadlineMs: number | undefined;
 
-constructor(private readonly deps:GatewayDependencies) {
-const {clock,logger,metrics,settings,codec,lease,control}=deps;
-const options={...DEFAULT_OPTIONS,...deps.options};
-const address=`${settings.peers.host}:${settings.peers.port}`;
-this.view=new FleetView(clock,logger);
-const runnerStates=new RunnerStates(clock,logger,options);
-const heldCopies=new HeldCopies(this.view,()=>clock.nowMs(),HOLDER_STATE_TTL_MS);
-const demand=new DemandMeter();
-const random=deps.random??Math.random;
-const rateLimits=new RunnerRateLimits({
-clock,logger,metrics,random,entries:()=>this.entryCount});
-this.view.onRestart(runnerId=>{
-runnerStates.handleRestart(runnerId);
-heldCopies.handleRestart(runnerId);
-rateLimits.handleRestart(runnerId);
-});
-const usageAccounts=new UsageAccounts({
-clock,windowMs:settings.bounds.usageWindowMs,isFirstStart:settings.isFirstStart,random,isKnown:name=>this.view.organisations?.findByName(name)!==undefined});
-const suspects=new CrashSuspects(clock);
-const crashLedger=new CrashLedger({
-clock,logger,metrics,epoch:`${address}#${clock.wallMs()}`,onQuarantine:fingerprint=>this.quarantineKeeper.add(fingerprint)});
-this.quarantineKeeper=new QuarantineKeeper({
-clock,logger,store:deps.quarantine,lease,suspects,isHolderReachable:()=>this.holderLink.isHolderReachable});
-const loadRate=new LoadRate(settings.bounds.loadWindowMs,settings.isFirstStart?clock.nowMs():clock.nowMs()+settings.bounds.loadWindowMs);
-this.configFetcher=new ConfigFetcher({
-clock,logger,version:()=>this.view.currentConfig?.version??0,fetchFrom:peer=>fetchPeerConfig(peer,options.peerTimeoutMs),apply:record=>deps.fleet.takeConfig(record)});
-const onNewerConfig=(version:number,peer:string)=>{
-logger.info('config-behind',{version,peer});
-deps.fleet.refreshConfig();
-this.configFetcher.noteNewerVersion(version,peer);
-};
-this.holder=new LeaseHolder({
-clock,logger,metrics,lease,control,view:this.view,options,holder:address,loadRate,crashes:crashLedger,processorShare:settings.processorShare,usage:usageAccounts,onNewerConfig,isLeaving:()=>this.isDraining});
-this.usageKeeper=new UsageKeeper({
-clock,logger,store:deps.usage,lease,accounts:usageAccounts,isFirstStart:settings.isFirstStart,nearLimit:()=>this.holder.usageNearLimit()});
-this.holderLink=new HolderLink({
-clock,logger,metrics,options,lease,ownHandlers:this.holder,self:{
-address,failureDomain:settings.failureDomain,processorShare:settings.processorShare},demand,usage:usageAccounts,suspects,states:runnerStates,rateLimits,heldCopies,loadRate,configVersion:()=>this.view.currentConfig?.version??0,onNewerConfig,runnersChange:()=>deps.fleet.runnersChange,onConfigCurrent:atMs=>this.view.onConfigCurrent(atMs),onRunnersChange:position=>deps.fleet.refreshRunners(position),random,onEntryCount:count=>{
-this.entryCount=count;
-}
-});
-const {retryRatio,retrySlack,retryWindowMs}=settings.bounds;
-const retryBudgets=new RetryBudgets({
-clock,metrics,retryRatio,retrySlack,retryWindowMs,usedShare:options.retryBudgetShare,entryCount:()=>this.entryCount});
-this.context={
-clock,logger,metrics,options,failureDomain:settings.failureDomain,view:this.view,codec,connections:new RunnerConnections(clock,options),runnerStates,promptGate:new PromptGate(clock),rateLimits,crashWatch:new CrashDetector({
-clock,logger,metrics,view:this.view,probe:at=>probeListener(at,options.connectTimeoutMs),onCrash:crash=>suspects.noteCrash(crash)}),suspects,heldCopies,demand,usage:usageAccounts,workForecast:new WorkForecast(()=>clock.nowMs()),keysTrustedMs:settings.bounds.keysTrustedMs,configApplyMs:settings.bounds.configApplyMs,refreshConfig:()=>deps.fleet.refreshConfig(),entryCount:()=>this.entryCount,retryBudgetOf:service=>retryBudgets.of(service),ensureAdapter:this.holderLink.ensureAdapter,permitTrial:this.holderLink.permitTrial,random,isDraining:()=>this.isDraining,drainDeadlineMs:()=>this.drainDeadlineMs};
-this.callerServer=new GatewayServer(this.context);
-this.readinessServer=createReadinessServer(()=>this.isReady);
-this.metricsServer=createMetricsServer(()=>metrics.render());
-this.registerGauges();
-this.peerServer=new PeerServer(this.peerHandlers());
-}
+  constructor(private readonly deps: GatewayDependencies) {
+    const {clock, logger, metrics, settings, codec, lease, control} = deps;
+    const options = {...DEFAULT_OPTIONS, ...deps.options};
+    const address = `${settings.peers.host}:${settings.peers.port}`;
+    this.view = new FleetView(clock, logger);
+    const runnerStates = new RunnerStates(clock, logger, options);
+    const heldCopies = new HeldCopies(
+      this.view,
+      () => clock.nowMs(),
+      HOLDER_STATE_TTL_MS,
+    );
+    const demand = new DemandMeter();
+    const random = deps.random ?? Math.random;
+    const rateLimits = new RunnerRateLimits({
+      clock,
+      logger,
+      metrics,
+      random,
+      entries: () => this.entryCount,
+    });
+    this.view.onRestart(runnerId => {
+      runnerStates.handleRestart(runnerId);
+      heldCopies.handleRestart(runnerId);
+      rateLimits.handleRestart(runnerId);
+    });
+    const usageAccounts = new UsageAccounts({
+      clock,
+      windowMs: settings.bounds.usageWindowMs,
+      isFirstStart: settings.isFirstStart,
+      random,
+      isKnown: name => this.view.organisations?.findByName(name) !== undefined,
+    });
+    const suspects = new CrashSuspects(clock);
+    const crashLedger = new CrashLedger({
+      clock,
+      logger,
+      metrics,
+      epoch: `${address}#${clock.wallMs()}`,
+      onQuarantine: fingerprint => this.quarantineKeeper.add(fingerprint),
+    });
+    this.quarantineKeeper = new QuarantineKeeper({
+      clock,
+      logger,
+      store: deps.quarantine,
+      lease,
+      suspects,
+      isHolderReachable: () => this.holderLink.isHolderReachable,
+    });
+    const loadRate = new LoadRate(
+      settings.bounds.loadWindowMs,
+      settings.isFirstStart
+        ? clock.nowMs()
+        : clock.nowMs() + settings.bounds.loadWindowMs,
+    );
+    this.configFetcher = new ConfigFetcher({
+      clock,
+      logger,
+      version: () => this.view.currentConfig?.version ?? 0,
+      fetchFrom: peer => fetchPeerConfig(peer, options.peerTimeoutMs),
+      apply: record => deps.fleet.takeConfig(record),
+    });
+    const onNewerConfig = (version: number, peer: string) => {
+      logger.info('config-behind', {version, peer});
+      deps.fleet.refreshConfig();
+      this.configFetcher.noteNewerVersion(version, peer);
+    };
+    this.holder = new LeaseHolder({
+      clock,
+      logger,
+      metrics,
+      lease,
+      control,
+      view: this.view,
+      options,
+      holder: address,
+      loadRate,
+      crashes: crashLedger,
+      processorShare: settings.processorShare,
+      usage: usageAccounts,
+      onNewerConfig,
+      isLeaving: () => this.isDraining,
+    });
+    this.usageKeeper = new UsageKeeper({
+      clock,
+      logger,
+      store: deps.usage,
+      lease,
+      accounts: usageAccounts,
+      isFirstStart: settings.isFirstStart,
+      nearLimit: () => this.holder.usageNearLimit(),
+    });
+    this.holderLink = new HolderLink({
+      clock,
+      logger,
+      metrics,
+      options,
+      lease,
+      ownHandlers: this.holder,
+      self: {
+        address,
+        failureDomain: settings.failureDomain,
+        processorShare: settings.processorShare,
+      },
+      demand,
+      usage: usageAccounts,
+      suspects,
+      states: runnerStates,
+      rateLimits,
+      heldCopies,
+      loadRate,
+      configVersion: () => this.view.currentConfig?.version ?? 0,
+      onNewerConfig,
+      runnersChange: () => deps.fleet.runnersChange,
+      onConfigCurrent: atMs => this.view.onConfigCurrent(atMs),
+      onRunnersChange: position => deps.fleet.refreshRunners(position),
+      random,
+      onEntryCount: count => {
+        this.entryCount = count;
+      },
+    });
+    const {retryRatio, retrySlack, retryWindowMs} = settings.bounds;
+    const retryBudgets = new RetryBudgets({
+      clock,
+      metrics,
+      retryRatio,
+      retrySlack,
+      retryWindowMs,
+      usedShare: options.retryBudgetShare,
+      entryCount: () => this.entryCount,
+    });
+    this.context = {
+      clock,
+      logger,
+      metrics,
+      options,
+      failureDomain: settings.failureDomain,
+      view: this.view,
+      codec,
+      connections: new RunnerConnections(clock, options),
+      runnerStates,
+      promptGate: new PromptGate(clock),
+      rateLimits,
+      crashWatch: new CrashDetector({
+        clock,
+        logger,
+        metrics,
+        view: this.view,
+        probe: at => probeListener(at, options.connectTimeoutMs),
+        onCrash: crash => suspects.noteCrash(crash),
+      }),
+      suspects,
+      heldCopies,
+      demand,
+      usage: usageAccounts,
+      workForecast: new WorkForecast(() => clock.nowMs()),
+      keysTrustedMs: settings.bounds.keysTrustedMs,
+      configApplyMs: settings.bounds.configApplyMs,
+      refreshConfig: () => deps.fleet.refreshConfig(),
+      entryCount: () => this.entryCount,
+      retryBudgetOf: service => retryBudgets.of(service),
+      ensureAdapter: this.holderLink.ensureAdapter,
+      permitTrial: this.holderLink.permitTrial,
+      random,
+      isDraining: () => this.isDraining,
+      drainDeadlineMs: () => this.drainDeadlineMs,
+    };
+    this.callerServer = new GatewayServer(this.context);
+    this.readinessServer = createReadinessServer(() => this.isReady);
+    this.metricsServer = createMetricsServer(() => metrics.render());
+    this.registerGauges();
+    this.peerServer = new PeerServer(this.peerHandlers());
+  }
 
-/** Whether the balancer may send callers to this process. */
-get isReady():boolean {
-return this.view.isReady&&!this.isDraining;
-}
+  /** Whether the balancer may send callers to this process. */
+  get isReady(): boolean {
+    return this.view.isReady && !this.isDraining;
+  }
 
-/** The process drains, and the balancer has stopped sending callers to it. */
-get isDrainNoticed():boolean {
-return this.drainDeadlineMs!==undefined;
-}
+  /** The process drains, and the balancer has stopped sending callers to it. */
+  get isDrainNoticed(): boolean {
+    return this.drainDeadlineMs !== undefined;
+  }
 
-get callersPort():number {
-return this.deps.settings.callers.port;
-}
+  get callersPort(): number {
+    return this.deps.settings.callers.port;
+  }
 
-/**
+  /**
    * Offers the lease to one peer after another until one takes it.
    *
    * @returns the address of that peer; undefined if none took it.
    */
-async handOverLease(handover:LeaseHandover):Promise<string|undefined>{
-const {peers}=this.deps.settings;
-const own=`${peers.host}:${peers.port}`;
-const {peerTimeoutMs}=this.context.options;
-for(const address of this.holder.activeEntryAddresses()) {
-if(address===own) continue;
-if(await offerLease(address,handover,peerTimeoutMs)) return address;
-}
-return undefined;
-}
+  async handOverLease(handover: LeaseHandover): Promise<string | undefined> {
+    const {peers} = this.deps.settings;
+    const own = `${peers.host}:${peers.port}`;
+    const {peerTimeoutMs} = this.context.options;
+    for (const address of this.holder.activeEntryAddresses()) {
+      if (address === own) continue;
+      if (await offerLease(address, handover, peerTimeoutMs)) return address;
+    }
+    return undefined;
+  }
 
-async start():Promise<void>{
-const {settings,fleet,lease,logger,clock}=this.deps;
-const {callers,readiness,peers,metrics:metricsAddress}=settings;
-await this.callerServer.listen(callers.port,callers.host);
-await listen(this.readinessServer,readiness);
-if(metricsAddress) await this.listenForMetrics(metricsAddress);
-await this.peerServer.listen(peers);
-fleet.start({
-onConfig:config=>this.view.onConfig(config),onConfigCurrent:()=>this.view.onConfigCurrent(),onRegistration:registration=>this.view.onRegistration(registration),onRemoval:runnerId=>this.view.onRemoval(runnerId),onCaughtUp:()=>this.view.onCaughtUp(),isRelayed:()=>this.holderLink.isRelayed});
-lease.start();
-this.holder.start();
-this.holderLink.start();
-this.quarantineKeeper.start();
-this.usageKeeper.start();
-this.lastMaintenanceMs=clock.nowMs();
-this.stopMaintenance=repeatEvery(clock,MAINTENANCE_INTERVAL_MS,()=>this.runMaintenance());
-logger.info('started',{
-callers:`${callers.host}:${callers.port}`,peers:`${peers.host}:${peers.port}`});
-}
+  async start(): Promise<void> {
+    const {settings, fleet, lease, logger, clock} = this.deps;
+    const {callers, readiness, peers, metrics: metricsAddress} = settings;
+    await this.callerServer.listen(callers.port, callers.host);
+    await listen(this.readinessServer, readiness);
+    if (metricsAddress) await this.listenForMetrics(metricsAddress);
+    await this.peerServer.listen(peers);
+    fleet.start({
+      onConfig: config => this.view.onConfig(config),
+      onConfigCurrent: () => this.view.onConfigCurrent(),
+      onRegistration: registration => this.view.onRegistration(registration),
+      onRemoval: runnerId => this.view.onRemoval(runnerId),
+      onCaughtUp: () => this.view.onCaughtUp(),
+      isRelayed: () => this.holderLink.isRelayed,
+    });
+    lease.start();
+    this.holder.start();
+    this.holderLink.start();
+    this.quarantineKeeper.start();
+    this.usageKeeper.start();
+    this.lastMaintenanceMs = clock.nowMs();
+    this.stopMaintenance = repeatEvery(clock, MAINTENANCE_INTERVAL_MS, () =>
+      this.runMaintenance(),
+    );
+    logger.info('started', {
+      callers: `${callers.host}:${callers.port}`,
+      peers: `${peers.host}:${peers.port}`,
+    });
+  }
 
-/**
+  /**
    * Drains the process without interrupting requests. The balancer sends
    * callers here until it notices that the process isn't ready. Until then
    * callers are served, each response closes its connection, and idle
@@ -225,101 +361,116 @@
    * meanwhile. Any other process leaves the group at once, so that it isn't
    * assigned the lease.
    */
-async drain():Promise<void>{
-const {clock,lease,logger,settings}=this.deps;
-const {noticeMs,graceMarginMs}=this.context.options;
-const startedMs=clock.nowMs();
-this.isDraining=true;
-logger.info('draining',{open:this.callerServer.openRequests});
-const endMs=startedMs+settings.bounds.graceMs-graceMarginMs;
-let released=lease.current().isHolder?undefined:lease.release();
-await released;
-while(clock.nowMs()<endMs) {
-if(clock.nowMs()>=endMs-RELEASE_MS) released??=lease.release();
-const isDrainNoticed=clock.nowMs()-startedMs>=noticeMs;
-if(isDrainNoticed) this.drainDeadlineMs=endMs;
-// A refused caller needs enough time left to retry at another entry.
-if(isDrainNoticed) this.callerServer.refuseUnsent();
-if(isDrainNoticed) this.callerServer.closeIdleConnections();
-if(isDrainNoticed&&this.callerServer.openRequests===0) break;
-await new Promise<void>(resolve=>{
-clock.setTimer(DRAIN_POLL_MS,resolve);
-});
-}
-await(released??lease.release());
-logger.info('drained',{
-open:this.callerServer.openRequests,tookMs:Math.round(clock.nowMs()-startedMs)});
-}
+  async drain(): Promise<void> {
+    const {clock, lease, logger, settings} = this.deps;
+    const {noticeMs, graceMarginMs} = this.context.options;
+    const startedMs = clock.nowMs();
+    this.isDraining = true;
+    logger.info('draining', {open: this.callerServer.openRequests});
+    const endMs = startedMs + settings.bounds.graceMs - graceMarginMs;
+    let released = lease.current().isHolder ? undefined : lease.release();
+    await released;
+    while (clock.nowMs() < endMs) {
+      if (clock.nowMs() >= endMs - RELEASE_MS) released ??= lease.release();
+      const isDrainNoticed = clock.nowMs() - startedMs >= noticeMs;
+      if (isDrainNoticed) this.drainDeadlineMs = endMs;
+      // A refused caller needs enough time left to retry at another entry.
+      if (isDrainNoticed) this.callerServer.refuseUnsent();
+      if (isDrainNoticed) this.callerServer.closeIdleConnections();
+      if (isDrainNoticed && this.callerServer.openRequests === 0) break;
+      await new Promise<void>(resolve => {
+        clock.setTimer(DRAIN_POLL_MS, resolve);
+      });
+    }
+    await (released ?? lease.release());
+    logger.info('drained', {
+      open: this.callerServer.openRequests,
+      tookMs: Math.round(clock.nowMs() - startedMs),
+    });
+  }
 
-stop():void {
-this.deps.fleet.stop();
-this.holder.stop();
-this.holderLink.stop();
-this.quarantineKeeper.stop();
-this.usageKeeper.stop();
-this.configFetcher.stop();
-this.stopMaintenance();
-this.callerServer.stopAccepting();
-this.readinessServer.close();
-this.metricsServer.close();
-this.peerServer.close();
-}
+  stop(): void {
+    this.deps.fleet.stop();
+    this.holder.stop();
+    this.holderLink.stop();
+    this.quarantineKeeper.stop();
+    this.usageKeeper.stop();
+    this.configFetcher.stop();
+    this.stopMaintenance();
+    this.callerServer.stopAccepting();
+    this.readinessServer.close();
+    this.metricsServer.close();
+    this.peerServer.close();
+  }
 
-/** Only logs a failure, such as a port in use: callers need no metrics. */
-private async listenForMetrics(at:ListenAddress):Promise<void>{
-try {
-await listen(this.metricsServer,at);
-} catch(thrown) {
-this.deps.logger.warn('metrics-unavailable',{
-address:`${at.host}:${at.port}`,error:thrown instanceof Error?thrown.message:String(thrown)});
-}
-}
+  /** Only logs a failure, such as a port in use: callers need no metrics. */
+  private async listenForMetrics(at: ListenAddress): Promise<void> {
+    try {
+      await listen(this.metricsServer, at);
+    } catch (thrown) {
+      this.deps.logger.warn('metrics-unavailable', {
+        address: `${at.host}:${at.port}`,
+        error: thrown instanceof Error ? thrown.message : String(thrown),
+      });
+    }
+  }
 
-private peerHandlers():PeerHandlers {
-const {holder,holderLink:link}=this;
-const {fleet}=this.deps;
-return {
-config:()=>fleet.configRecord&&encodePeerConfig(fleet.configRecord),exchange:link.handleExchange,ensureAdapter:input=>holder.ensureAdapter(input),permitTrial:input=>holder.permitTrial(input),lastOrder:input=>holder.lastOrder(input),takeOver:handover=>holder.takeOver(handover)};
-}
+  private peerHandlers(): PeerHandlers {
+    const {holder, holderLink: link} = this;
+    const {fleet} = this.deps;
+    return {
+      config: () => fleet.configRecord && encodePeerConfig(fleet.configRecord),
+      exchange: link.handleExchange,
+      ensureAdapter: input => holder.ensureAdapter(input),
+      permitTrial: input => holder.permitTrial(input),
+      lastOrder: input => holder.lastOrder(input),
+      takeOver: handover => holder.takeOver(handover),
+    };
+  }
 
-/** Registers values that are read when the metrics are rendered. */
-private registerGauges():void {
-const {clock,metrics,lease}=this.deps;
-const ageMs=(atMs:number)=>Math.round(clock.nowMs()-atMs);
-metrics.gauge('config_version',()=>this.view.currentConfig?.version??0);
-metrics.gauge('config_heard_age_ms',()=>Math.round(this.view.configAgeMs??ageMs(0)));
-metrics.gauge('runners_heard_age_ms',()=>ageMs(this.view.runnersReadMs));
-metrics.gauge('runners_known',()=>[...this.view.allRunners()].length);
-metrics.gauge('open_requests',()=>this.callerServer.openRequests);
-metrics.gauge('runner_connections_opened',()=>{
-return this.context.connections.opened;
-});
-metrics.gauge('is_holder',()=>Number(lease.current().isHolder));
-metrics.gauge('order_token',()=>lease.current().fencingToken);
-metrics.gauge('entries_heard',()=>this.entryCount);
-}
+  /** Registers values that are read when the metrics are rendered. */
+  private registerGauges(): void {
+    const {clock, metrics, lease} = this.deps;
+    const ageMs = (atMs: number) => Math.round(clock.nowMs() - atMs);
+    metrics.gauge(
+      'config_version',
+      () => this.view.currentConfig?.version ?? 0,
+    );
+    metrics.gauge('config_heard_age_ms', () =>
+      Math.round(this.view.configAgeMs ?? ageMs(0)),
+    );
+    metrics.gauge('runners_heard_age_ms', () => ageMs(this.view.runnersReadMs));
+    metrics.gauge('runners_known', () => [...this.view.allRunners()].length);
+    metrics.gauge('open_requests', () => this.callerServer.openRequests);
+    metrics.gauge('runner_connections_opened', () => {
+      return this.context.connections.opened;
+    });
+    metrics.gauge('is_holder', () => Number(lease.current().isHolder));
+    metrics.gauge('order_token', () => lease.current().fencingToken);
+    metrics.gauge('entries_heard', () => this.entryCount);
+  }
 
-/** Measures the event loop's delay, ejects runners and drops stale state. */
-private runMaintenance():void {
-const nowMs=this.deps.clock.nowMs();
-const lateMs=nowMs-this.lastMaintenanceMs-MAINTENANCE_INTERVAL_MS;
-this.deps.metrics.observeMs('loop_delay_ms',Math.max(0,lateMs));
-this.lastMaintenanceMs=nowMs;
+  /** Measures the event loop's delay, ejects runners and drops stale state. */
+  private runMaintenance(): void {
+    const nowMs = this.deps.clock.nowMs();
+    const lateMs = nowMs - this.lastMaintenanceMs - MAINTENANCE_INTERVAL_MS;
+    this.deps.metrics.observeMs('loop_delay_ms', Math.max(0, lateMs));
+    this.lastMaintenanceMs = nowMs;
 
-this.context.runnerStates.ejectOutliers();
-this.context.runnerStates.prune(id=>this.view.runner(id)!==undefined);
-this.context.rateLimits.prune(id=>this.view.runner(id)!==undefined);
-this.context.promptGate.prune(id=>this.view.runner(id)!==undefined);
-this.context.connections.closeIdle();
-}
+    this.context.runnerStates.ejectOutliers();
+    this.context.runnerStates.prune(id => this.view.runner(id) !== undefined);
+    this.context.rateLimits.prune(id => this.view.runner(id) !== undefined);
+    this.context.promptGate.prune(id => this.view.runner(id) !== undefined);
+    this.context.connections.closeIdle();
+  }
 }
 
-function listen(server:Server,{host,port}:ListenAddress):Promise<void>{
-return new Promise((resolve,reject)=>{
-server.once('error',reject);
-server.listen(port,host,()=>{
-server.off('error',reject);
-resolve();
-});
-});
+function listen(server: Server, {host, port}: ListenAddress): Promise<void> {
+  return new Promise((resolve, reject) => {
+    server.once('error', reject);
+    server.listen(port, host, () => {
+      server.off('error', reject);
+      resolve();
+    });
+  });
 }
--- a/packages/banyanfold-gateway/src/requests/requestHandler.ts
+++ b/packages/banyanfold-gateway/src/requests/requestHandler.ts
@@ -460,10 +460,14 @@
           isPromptRead = true;
           this.promptTurn?.release();
           const tookMs = context.clock.nowMs() - nowMs;
-          context.runnerStates.recordPromptRead(runner.runnerId, this.requestWork, {
-            aheadWork,
-            tookMs,
-          });
+          context.runnerStates.recordPromptRead(
+            runner.runnerId,
+            this.requestWork,
+            {
+              aheadWork,
+              tookMs,
+            },
+          );
         },
       },
     );
