--- a/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
+++ b/packages/banyanfold-gateway/src/crashes/crashSuspects.ts
@@ -91,7 +91,7 @@
     if (quarantined.length > 0) this.forward({...emptyReport(), quarantined});
   }
 
-  noteCrash({crashId: crashId, fingerprints}: ObservedCrash): void {
+  noteCrash({crashId, fingerprints}: ObservedCrash): void {
     const atMs = this.clock.nowMs();
     for (const fingerprint of fingerprints) {
       const crashes = this.localCrashes.get(fingerprint) ?? [];
