--- a/packages/banyanfold-agent/src/__tests__/engineTruth.ts
+++ b/packages/banyanfold-agent/src/__tests__/engineTruth.ts
@@ -71,11 +71,11 @@
 
   /** A report as the agent gets it: of a while ago, but answered now. */
   async report() {
-    const askedAtMs = this.options.clock.nowMs();
+    const sentAtMs = this.options.clock.nowMs();
     const atMs = this.nowMs() - this.reportLagMs;
     const past = this.history.findLast(({takenAtMs}) => takenAtMs <= atMs);
     const report = {...(past ?? this.history[0]!), takenAtMs: atMs};
-    return ok({report, timing: {askedAtMs, engineNowMs: this.nowMs()}});
+    return ok({report, timing: {sentAtMs, engineNowMs: this.nowMs()}});
   }
 
   async order(order: EngineOrder): Promise<OrderAnswer> {
--- a/packages/banyanfold-agent/src/__tests__/ledgerWorld.ts
+++ b/packages/banyanfold-agent/src/__tests__/ledgerSimulation.ts
@@ -6,7 +6,7 @@
 } from '@banyanfold/core';
 import type {LogService} from '@banyanfold/log';
 import {errAsync, okAsync} from 'neverthrow';
-import {EngineWatch} from '../control/engineWatch.js';
+import {EngineMonitor} from '../control/engineMonitor.js';
 import {ProposalHandler} from '../control/proposalHandler.js';
 import {FenceKeeper} from '../engine/fenceKeeper.js';
 import {OrderSender} from '../engine/orderSender.js';
@@ -30,18 +30,18 @@
   | {kind: 'log'; isUp: boolean};
 
 /** An engine, the agent beside it, and what goes wrong between them. */
-export class LedgerWorld {
+export class LedgerSimulation {
   readonly clock = new VirtualClock();
-  readonly truth: EngineTruth;
+  readonly engine: EngineTruth;
   ledger!: MemoryLedger;
   private agent!: {proposals: ProposalHandler; stop(): void};
-  private logIsUp = true;
+  private isLogAvailable = true;
   private nextOffset = 1;
   private sequence = 0;
   private ownRequests: string[] = [];
 
   constructor(private readonly checksFencing: boolean) {
-    this.truth = new EngineTruth({
+    this.engine = new EngineTruth({
       clock: this.clock,
       checksFencing,
       capacityBytes: CAPACITY_BYTES,
@@ -57,10 +57,10 @@
 
   /** The faults end, and time passes until nothing can be under way. */
   async settle(): Promise<void> {
-    this.truth.faults = [];
-    this.truth.reportLagMs = 0;
-    this.logIsUp = true;
-    for (const key of this.truth.openRequests()) this.truth.endRequest(key);
+    this.engine.faults = [];
+    this.engine.reportLagMs = 0;
+    this.isLogAvailable = true;
+    for (const key of this.engine.openRequests()) this.engine.endRequest(key);
     for (const key of this.ownRequests.splice(0)) {
       this.ledger.budget.releaseKv(key);
     }
@@ -78,13 +78,13 @@
       if (budget.kvFreeBytes() < bytes) return;
       const key = `request-${++this.sequence}`;
       budget.reserveKv(key, bytes);
-      this.truth.beginRequest(key, bytes);
+      this.engine.beginRequest(key, bytes);
       this.ownRequests.push(key);
     },
     finish: () => {
-      const [key] = this.truth.openRequests();
+      const [key] = this.engine.openRequests();
       if (key === undefined) return;
-      this.truth.endRequest(key);
+      this.engine.endRequest(key);
       this.ledger.budget.releaseKv(key);
     },
     crash: () => {
@@ -93,16 +93,16 @@
       this.startAgent();
     },
     'order-faults': ({faults}) => {
-      this.truth.faults = [...faults];
+      this.engine.faults = [...faults];
     },
     'report-lag': ({ms}) => {
-      this.truth.reportLagMs = ms;
+      this.engine.reportLagMs = ms;
     },
     'refuse-loads': ({count}) => {
-      this.truth.refuseLoads = count;
+      this.engine.refuseLoads = count;
     },
     log: ({isUp}) => {
-      this.logIsUp = isUp;
+      this.isLogAvailable = isUp;
     },
   };
 
@@ -125,7 +125,7 @@
 
   /** The port is bound: there is never a second one. */
   private startAgent(): void {
-    const {clock, truth, checksFencing} = this;
+    const {clock, engine, checksFencing} = this;
     const logger = new MemoryLogger();
     const metrics = new Metrics();
     const random = () => 0.5;
@@ -139,7 +139,7 @@
       kvPool: 'shared',
       kvFloorShare: 0.1,
       inheritedBoundMs: 1_000_000,
-      nameCopy: nextOrderId,
+      createCopyId: nextOrderId,
     });
     const fence = new FenceKeeper({
       log: this.log,
@@ -149,7 +149,7 @@
       random,
     });
     const orders = new OrderSender({
-      engine: truth,
+      engine,
       ledger,
       clock,
       logger,
@@ -159,12 +159,12 @@
       onSuperseded: () => fence.markSuperseded(),
       resendDelayMs: 10,
     });
-    const watch = new EngineWatch({
+    const engineMonitor = new EngineMonitor({
       clock,
       logger,
       metrics,
       random,
-      engine: truth,
+      engine,
       ledger,
       orders,
       fence,
@@ -191,23 +191,24 @@
       setRunnerRole: () => {},
     });
     void fence.acquire();
-    void watch.start();
+    void engineMonitor.start();
     this.ledger = ledger;
     this.agent = {
       proposals,
-      stop: () => [fence, orders, watch, proposals].forEach(p => p.stop()),
+      stop: () =>
+        [fence, orders, engineMonitor, proposals].forEach(p => p.stop()),
     };
   }
 
   private readonly log: Pick<LogService, 'append' | 'read'> = {
     append: () => {
-      if (this.logIsUp) {
+      if (this.isLogAvailable) {
         const firstOffset = this.nextOffset++;
         const answer = {firstOffset, lastOffset: firstOffset, appendedAtMs: 0};
         return okAsync(answer);
       }
-      const place = {step: 'append-fences', peer: 'log'};
-      return errAsync(new BanyanfoldError('log-unavailable', 'out', place));
+      const details = {step: 'append-fences', peer: 'log'};
+      return errAsync(new BanyanfoldError('log-unavailable', 'out', details));
     },
     read: () => okAsync({firstOffset: 1, nextOffset: 1, nowMs: 0, records: []}),
   };
--- a/packages/banyanfold-agent/src/__tests__/lifecycle.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/lifecycle.test.ts
@@ -24,7 +24,7 @@
 type Target = Awaited<ReturnType<typeof start>>;
 
 /** A second agent beside the same engine and log. */
-function startBeside(target: Target, settings = {}) {
+function startSecondAgent(target: Target, settings = {}) {
   return start({
     fakeEngine: {
       start: async () => ({port: target.enginePort}),
@@ -46,7 +46,7 @@
   } as Parameters<typeof target.client.propose.mutate>[0]);
 }
 
-async function certain(target: Target): Promise<Target> {
+async function untilQuarantineEnds(target: Target): Promise<Target> {
   await until(async () => {
     const probe = {artifact: 'probe@1', bytes: 1e15};
     return (await propose(target, probe)).reason === 'no-memory';
@@ -56,7 +56,7 @@
 
 const HOUR_MS = 3_600_000;
 /** The stand-in log's clock is the machine's. */
-const SEEN_NOW = {viewedAtMs: Date.now()};
+const VIEWED_NOW = {viewedAtMs: Date.now()};
 const RETIRE_ELSEWHERE = {
   kind: 'retire',
   artifact: 'claims@1',
@@ -69,7 +69,7 @@
 describe('start', () => {
   it('fails while another process holds the port', async () => {
     const target = await start();
-    const second = startBeside(target, {port: target.port});
+    const second = startSecondAgent(target, {port: target.port});
     await expect(second).rejects.toMatchObject({
       code: 'port-in-use',
       step: 'listen',
@@ -98,7 +98,7 @@
     const target = await start();
     const {logStandin} = target;
     logStandin.state.faults.set({outage: 'refuse'});
-    const second = await startBeside(target);
+    const second = await startSecondAgent(target);
     const provisional = (await second.client.report.query()).incarnation;
     expect(provisional).toBeLessThan(0);
     logStandin.state.faults.set({outage: 'none'});
@@ -123,8 +123,8 @@
 // The engine refuses the older one's orders, which then stops.
 describe('an agent with an older fencing number', () => {
   it('stops taking work once the engine refuses its order', async () => {
-    const older = await certain(await start());
-    await certain(await startBeside(older));
+    const older = await untilQuarantineEnds(await start());
+    await untilQuarantineEnds(await startSecondAgent(older));
     await propose(older, {artifact: 'a@1', bytes: GIB});
     await until(async () => (await older.client.report.query()).leaving);
     const {truth} = older.engine.state;
@@ -135,7 +135,7 @@
 
 describe('propose', () => {
   it('refuses an older planner, and answers a repeated proposal alike', async () => {
-    const target = await certain(await start());
+    const target = await untilQuarantineEnds(await start());
     const load = {proposalId: 'same', artifact: 'a@1', bytes: GIB};
     const first = await propose(target, load);
     expect(first).toEqual({accepted: true, reason: 'reserved'});
@@ -158,18 +158,18 @@
     ['no-memory', {artifact: 'a@1', bytes: 79 * GIB}],
     ['no-model', {artifact: 'a@1+x@1', bytes: 1}],
     ['bad-proposal', {artifact: 'a@1', bytes: 0}],
-    ['not-held', {kind: 'retire', artifact: 'a@1', ...SEEN_NOW}],
-    ['relies-on-none', {kind: 'retire', artifact: 'claims@1', ...SEEN_NOW}],
+    ['not-held', {kind: 'retire', artifact: 'a@1', ...VIEWED_NOW}],
+    ['relies-on-none', {kind: 'retire', artifact: 'claims@1', ...VIEWED_NOW}],
     ['no-view-time', {kind: 'retire', artifact: 'claims@1'}],
     ['old-view', {...RETIRE_ELSEWHERE, viewedAtMs: Date.now() - HOUR_MS}],
   ])('refuses with %s', async (reason, fields) => {
     const memory = {inheritedRetireHoldMs: 0};
-    const target = await certain(await start({settings: {memory}}));
+    const target = await untilQuarantineEnds(await start({settings: {memory}}));
     await until(async () => (await propose(target, fields)).reason === reason);
   });
 
   it('holds a copy from before the start back from retirement', async () => {
-    const target = await certain(await start());
+    const target = await untilQuarantineEnds(await start());
     const fields = {kind: 'retire', artifact: 'claims@1'};
     const {reason} = await propose(target, {
       ...fields,
@@ -182,10 +182,10 @@
   // must come to its end first, and no new request may get the copy.
   it('unloads a retired copy after the last request on it', async () => {
     const memory = {inheritedRetireHoldMs: 0};
-    const target = await certain(await start({settings: {memory}}));
+    const target = await untilQuarantineEnds(await start({settings: {memory}}));
     const body = chatBody({max_tokens: 60});
     const {response} = await sendAttempt(target, {body});
-    const retire = {kind: 'retire', artifact: 'claims@1', ...SEEN_NOW};
+    const retire = {kind: 'retire', artifact: 'claims@1', ...VIEWED_NOW};
     const reliesOnCopyIds = ['agent-2/claims@1#7.1'];
     await until(
       async () =>
@@ -214,7 +214,7 @@
   });
 
   it('changes the role and reports it', async () => {
-    const target = await certain(await start());
+    const target = await untilQuarantineEnds(await start());
     const set = {kind: 'set-role', runnerRole: 'desk'};
     expect(await propose(target, set)).toEqual({
       accepted: true,
--- a/packages/banyanfold-agent/src/__tests__/memoryLedger.model.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/memoryLedger.model.test.ts
@@ -1,7 +1,11 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 import type {OrderFault} from './engineTruth.js';
-import {LATE_BOUND_MS, LedgerWorld, type Step} from './ledgerWorld.js';
+import {
+  LATE_BOUND_MS,
+  LedgerSimulation,
+  type Step,
+} from './ledgerSimulation.js';
 
 /** Seed 13 found requests of a predecessor that a lagging report lacked. */
 const SEEDS = [1, 2, 3, 13];
@@ -68,7 +72,7 @@
     })),
   }));
 
-const single = fc
+const singleStep = fc
   .oneof(
     {weight: 4, arbitrary: advance(1, 150)},
     {weight: 2, arbitrary: advance(200, 700)},
@@ -120,7 +124,7 @@
 const stepsArbitrary = fc
   .array(
     fc.oneof(
-      {weight: 8, arbitrary: single},
+      {weight: 8, arbitrary: singleStep},
       {weight: 2, arbitrary: loadAndCrash},
       {weight: 2, arbitrary: doubtfulLoad},
       {weight: 2, arbitrary: versionChange},
@@ -139,22 +143,22 @@
 ])('the memory of an engine that $engine', ({checksFencing}) => {
   it.each(SEEDS)('is never committed twice (seed %i)', async seed => {
     const property = fc.asyncProperty(stepsArbitrary, async steps => {
-      const world = new LedgerWorld(checksFencing);
-      await world.run({kind: 'advance', ms: 2 * LATE_BOUND_MS});
+      const simulation = new LedgerSimulation(checksFencing);
+      await simulation.run({kind: 'advance', ms: 2 * LATE_BOUND_MS});
       for (const step of steps) {
-        await world.run(step);
-        expect(world.truth.violations).toEqual([]);
+        await simulation.run(step);
+        expect(simulation.engine.violations).toEqual([]);
       }
-      await world.settle();
-      expect(world.truth.violations).toEqual([]);
+      await simulation.settle();
+      expect(simulation.engine.violations).toEqual([]);
       // Nothing stays reserved for good either.
-      const states = world.ledger.all().map(({state}) => state);
+      const states = simulation.ledger.all().map(({state}) => state);
       expect(states.filter(state => state !== 'held')).toEqual([]);
-      const ledgerBytes = world.ledger
+      const ledgerBytes = simulation.ledger
         .all()
         .reduce((sum, {bytes}) => sum + bytes, 0);
-      expect(ledgerBytes).toBe(world.truth.weightBytes());
-      expect(world.ledger.inQuarantine()).toBe(false);
+      expect(ledgerBytes).toBe(simulation.engine.weightBytes());
+      expect(simulation.ledger.isInQuarantine()).toBe(false);
     });
     await fc.assert(property, {seed, numRuns: RUNS_PER_SEED});
   });
--- a/packages/banyanfold-agent/src/__tests__/memoryLedger.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/memoryLedger.test.ts
@@ -20,7 +20,7 @@
     kvPool: 'shared',
     kvFloorShare: 0.1,
     inheritedBoundMs: 10_000,
-    nameCopy: artifact => `found/${artifact}`,
+    createCopyId: artifact => `found/${artifact}`,
     ...options,
   });
   const observe = (
@@ -38,26 +38,26 @@
           models,
         },
         {
-          askedAtMs: clock.nowMs(),
+          sentAtMs: clock.nowMs(),
           engineNowMs: fields.engineNowMs ?? takenAtMs,
         },
       )
       .map(({kind, artifact}) => `${kind} ${artifact}`.trim());
   /** Ends the quarantine of an engine that checks fencing. */
-  const open = (takenAtMs = 10) => {
+  const endQuarantine = (takenAtMs = 10) => {
     observe(takenAtMs - 2);
-    ledger.barrierPassed(takenAtMs - 1, []);
+    ledger.noteBarrierAccepted(takenAtMs - 1, []);
     observe(takenAtMs);
   };
-  const load = (artifact: string, bytes: number) =>
+  const reserveLoad = (artifact: string, bytes: number) =>
     ledger.reserveLoad({artifact, bytes, orderId: `order/${artifact}`}).match(
       ({state}) => state as string,
       refusal => refusal,
     );
-  return {clock, ledger, observe, open, load};
+  return {clock, ledger, observe, endQuarantine, reserveLoad};
 }
 
-const loaded = (artifact: string, bytes = 20): EngineModel => ({
+const loadedModel = (artifact: string, bytes = 20): EngineModel => ({
   artifact,
   bytes,
   state: 'loaded',
@@ -65,64 +65,66 @@
 
 describe('MemoryLedger', () => {
   it('promises nothing before a report, nor in quarantine', () => {
-    const {load, observe, open} = createLedger({});
-    expect(load('a@1', 1)).toBe('no-report');
+    const {reserveLoad, observe, endQuarantine} = createLedger({});
+    expect(reserveLoad('a@1', 1)).toBe('no-report');
     observe(5);
-    expect(load('a@1', 1)).toBe('quarantine');
-    open();
-    expect(load('a@1', 1)).toBe('reserved');
+    expect(reserveLoad('a@1', 1)).toBe('quarantine');
+    endQuarantine();
+    expect(reserveLoad('a@1', 1)).toBe('reserved');
   });
 
   it('keeps the floor and running requests from loads', () => {
-    const {load, open, ledger} = createLedger({});
-    open();
-    expect(load('a@1', 91)).toBe('no-memory');
-    expect(load('a@1', 60)).toBe('reserved');
+    const {reserveLoad, endQuarantine, ledger} = createLedger({});
+    endQuarantine();
+    expect(reserveLoad('a@1', 91)).toBe('no-memory');
+    expect(reserveLoad('a@1', 60)).toBe('reserved');
     ledger.budget.reserveKv('r', 30);
-    expect(load('b@1', 11)).toBe('no-memory');
-    expect(load('b@1', 10)).toBe('reserved');
+    expect(reserveLoad('b@1', 11)).toBe('no-memory');
+    expect(reserveLoad('b@1', 10)).toBe('reserved');
     expect(ledger.budget.kvFreeBytes()).toBe(0);
   });
 
   it('does not count KV cache that the engine set aside', () => {
-    const {load, open, ledger} = createLedger({kvPool: 'separate'});
-    open();
+    const {reserveLoad, endQuarantine, ledger} = createLedger({
+      kvPool: 'separate',
+    });
+    endQuarantine();
     ledger.budget.reserveKv('r', 30);
-    expect(load('a@1', 100)).toBe('reserved');
+    expect(reserveLoad('a@1', 100)).toBe('reserved');
     expect(ledger.budget.kvFreeBytes()).toBe(20);
   });
 
   // A predecessor's load may be on its way. It was reserved beside the floor,
   // so requests may have the floor and no more until it must have arrived.
   it('keeps requests to the floor in quarantine', () => {
-    const {observe, open, ledger} = createLedger({});
+    const {observe, endQuarantine, ledger} = createLedger({});
     // Its last requests may not be in this report yet.
     observe(5, [], {kvUsedBytes: 0});
     expect(ledger.budget.kvFreeBytes()).toBe(0);
     observe(6, [], {kvUsedBytes: 4});
     expect(ledger.budget.kvFreeBytes()).toBe(6);
-    open();
+    endQuarantine();
     expect(ledger.budget.kvFreeBytes()).toBe(50);
   });
 
   it('frees a failed load only by a report from after its order', () => {
-    const {observe, open, load, ledger} = createLedger({});
-    open();
-    load('a@1', 60);
+    const {observe, endQuarantine, reserveLoad, ledger} = createLedger({});
+    endQuarantine();
+    reserveLoad('a@1', 60);
     expect(observe(20)).toEqual([]);
-    ledger.loadReceived('order/a@1', 30);
+    ledger.noteLoadAccepted('order/a@1', 30);
     expect(observe(25)).toEqual([]);
     expect(observe(30)).toEqual([]);
     expect(observe(31)).toEqual(['load-failed a@1']);
   });
 
   it('frees an unloaded copy only by a report from after its order', () => {
-    const {observe, open, ledger} = createLedger({});
-    open();
-    observe(20, [loaded('a@1')]);
+    const {observe, endQuarantine, ledger} = createLedger({});
+    endQuarantine();
+    observe(20, [loadedModel('a@1')]);
     ledger.startRelease('a@1', 'unload-1');
     expect(observe(30)).toEqual([]);
-    ledger.unloadReceived('unload-1', 40);
+    ledger.noteUnloadAccepted('unload-1', 40);
     expect(observe(35)).toEqual([]);
     expect(observe(41)).toEqual(['released a@1']);
   });
@@ -130,33 +132,35 @@
   // Two reports cross on their way. The older one lists a copy that is gone;
   // taken at its word, requests would be sent to it.
   it('does not bring a copy back by an older report', () => {
-    const {observe, open, ledger} = createLedger({});
-    open();
-    observe(20, [loaded('a@1')]);
+    const {observe, endQuarantine, ledger} = createLedger({});
+    endQuarantine();
+    observe(20, [loadedModel('a@1')]);
     expect(observe(30)).toEqual(['vanished a@1']);
-    expect(observe(25, [loaded('a@1')])).toEqual([]);
+    expect(observe(25, [loadedModel('a@1')])).toEqual([]);
     expect(ledger.canServe('a@1')).toBe(false);
   });
 
   it('ends a doubt by a barrier and a later report', () => {
-    const {observe, open, load, ledger} = createLedger({});
-    open();
-    load('a@1', 60);
-    ledger.loadInDoubt('order/a@1');
+    const {observe, endQuarantine, reserveLoad, ledger} = createLedger({});
+    endQuarantine();
+    reserveLoad('a@1', 60);
+    ledger.noteLoadInDoubt('order/a@1');
     expect(ledger.needsBarrier()).toBe(true);
     expect(observe(50)).toEqual([]);
-    ledger.barrierPassed(60, ['order/a@1']);
+    ledger.noteBarrierAccepted(60, ['order/a@1']);
     expect(observe(60)).toEqual([]);
     expect(observe(61)).toEqual(['doubt-ended a@1']);
   });
 
   it('ends a doubt without fencing by the bound and a later report', async () => {
-    const {clock, observe, load, ledger} = createLedger({checksFencing: false});
+    const {clock, observe, reserveLoad, ledger} = createLedger({
+      checksFencing: false,
+    });
     await clock.advance(LATE_BOUND_MS);
     observe(100);
     observe(101);
-    load('a@1', 60);
-    ledger.loadInDoubt('order/a@1');
+    reserveLoad('a@1', 60);
+    ledger.noteLoadInDoubt('order/a@1');
     await clock.advance(LATE_BOUND_MS - 1);
     expect(observe(200, [], {engineNowMs: 210})).toEqual([]);
     await clock.advance(1);
@@ -169,7 +173,7 @@
   it('takes over what it finds, in each state', () => {
     const {observe, ledger} = createLedger({});
     const models: EngineModel[] = [
-      loaded('a@1'),
+      loadedModel('a@1'),
       {artifact: 'b@1', bytes: 1, state: 'loading'},
       {artifact: 'c@1', bytes: 1, state: 'unloading'},
     ];
@@ -184,9 +188,9 @@
 
   it('serves an adapter only with its model', () => {
     const {observe, ledger} = createLedger({});
-    observe(20, [loaded('a@1+x@1')]);
+    observe(20, [loadedModel('a@1+x@1')]);
     expect(ledger.canServe('a@1+x@1')).toBe(false);
-    observe(21, [loaded('a@1+x@1'), loaded('a@1')]);
+    observe(21, [loadedModel('a@1+x@1'), loadedModel('a@1')]);
     expect(ledger.canServe('a@1+x@1')).toBe(true);
   });
 
@@ -195,9 +199,9 @@
   // answers. Before, its bytes stayed counted for ever, and the next version of
   // the model found no room.
   it('releases a copy that is gone although no answer ever came', async () => {
-    const {clock, observe, open, ledger} = createLedger({});
-    open();
-    observe(20, [loaded('a@1')]);
+    const {clock, observe, endQuarantine, ledger} = createLedger({});
+    endQuarantine();
+    observe(20, [loadedModel('a@1')]);
     ledger.startRelease('a@1', 'unload-1');
     expect(observe(21)).toEqual([]);
     await clock.advance(1);
@@ -208,26 +212,26 @@
   });
 
   it('asks for an unload again that the engine took and did not do', () => {
-    const {observe, open, ledger} = createLedger({});
-    open();
-    observe(20, [loaded('a@1')]);
+    const {observe, endQuarantine, ledger} = createLedger({});
+    endQuarantine();
+    observe(20, [loadedModel('a@1')]);
     ledger.startRelease('a@1', 'unload-1');
-    ledger.unloadReceived('unload-1', 40);
-    expect(observe(39, [loaded('a@1')])).toEqual([]);
-    expect(observe(41, [loaded('a@1')])).toEqual(['unload-ignored a@1']);
+    ledger.noteUnloadAccepted('unload-1', 40);
+    expect(observe(39, [loadedModel('a@1')])).toEqual([]);
+    expect(observe(41, [loadedModel('a@1')])).toEqual(['unload-ignored a@1']);
   });
 
   // The engine's process is a new one: its clock has fallen back, and it may
   // have forgotten which orders it took. Old times prove nothing any more.
   it('goes back into quarantine when the engine is a new one', () => {
-    const {observe, open, load, ledger} = createLedger({});
-    open(50_000);
-    load('a@1', 60);
-    ledger.loadReceived('order/a@1', 50_010);
+    const {observe, endQuarantine, reserveLoad, ledger} = createLedger({});
+    endQuarantine(50_000);
+    reserveLoad('a@1', 60);
+    ledger.noteLoadAccepted('order/a@1', 50_010);
     expect(observe(100)).toEqual(['engine-restarted']);
-    expect(ledger.inQuarantine()).toBe(true);
+    expect(ledger.isInQuarantine()).toBe(true);
     expect(observe(101)).toEqual(['load-failed a@1']);
-    open(200);
-    expect(ledger.inQuarantine()).toBe(false);
+    endQuarantine(200);
+    expect(ledger.isInQuarantine()).toBe(false);
   });
 });
--- a/packages/banyanfold-agent/src/__tests__/orderEvidence.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/orderEvidence.test.ts
@@ -43,7 +43,7 @@
     kvPool: 'shared',
     kvFloorShare: 0.1,
     inheritedBoundMs: 1_000,
-    nameCopy: artifact => artifact,
+    createCopyId: artifact => artifact,
   });
   engine = new EngineClient({
     url: await startStallingEngine(),
@@ -71,9 +71,9 @@
         memoryCapacityBytes: 100,
         models,
       },
-      {askedAtMs: 0, engineNowMs: ANSWERED_AT_MS + takenAtMs},
+      {sentAtMs: 0, engineNowMs: ANSWERED_AT_MS + takenAtMs},
     );
-  ledger.barrierPassed(1, []);
+  ledger.noteBarrierAccepted(1, []);
   observe(2, []);
   return {ledger, orders, observe};
 }
--- a/packages/banyanfold-agent/src/__tests__/orderSender.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/orderSender.test.ts
@@ -17,7 +17,7 @@
     kvPool: 'shared',
     kvFloorShare: 0.1,
     inheritedBoundMs: BOUND_MS,
-    nameCopy: artifact => artifact,
+    createCopyId: artifact => artifact,
   });
   const report = {
     takenAtMs: 2,
@@ -26,8 +26,8 @@
     memoryCapacityBytes: 100,
     models: [],
   };
-  ledger.barrierPassed(1, []);
-  ledger.observe(report, {askedAtMs: 0, engineNowMs: 2});
+  ledger.noteBarrierAccepted(1, []);
+  ledger.observe(report, {sentAtMs: 0, engineNowMs: 2});
   ledger.reserveLoad({artifact: 'a@1', bytes: 50, orderId: 'o1'});
   const orders = new OrderSender({
     engine: {
--- a/packages/banyanfold-agent/src/__tests__/prefixTracker.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/prefixTracker.test.ts
@@ -8,7 +8,7 @@
 describe('PrefixTracker', () => {
   it('keeps the newest, up to its bound', () => {
     const tracker = new PrefixTracker(2);
-    for (const hash of ['a', 'b', 'a', 'c']) tracker.confirm(hash);
+    for (const hash of ['a', 'b', 'a', 'c']) tracker.noteCached(hash);
     expect(tracker.newestFirst()).toEqual(['c', 'a']);
   });
 
--- a/packages/banyanfold-agent/src/__tests__/proposalHandler.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/proposalHandler.test.ts
@@ -24,9 +24,9 @@
     kvPool: 'shared',
     kvFloorShare: 0,
     inheritedBoundMs: 0,
-    nameCopy: artifact => `found/${artifact}`,
+    createCopyId: artifact => `found/${artifact}`,
   });
-  ledger.barrierPassed(1, []);
+  ledger.noteBarrierAccepted(1, []);
   ledger.observe(
     {
       takenAtMs: 2,
@@ -35,13 +35,13 @@
       memoryCapacityBytes: 100,
       models: [{artifact: 'a@1', bytes: 50, state: 'loaded'}],
     },
-    {askedAtMs: 0, engineNowMs: 2},
+    {sentAtMs: 0, engineNowMs: 2},
   );
-  const unloads: string[] = [];
-  const retired = new Set<string>();
-  let answer: (verdict: Verdict) => void = () => {};
+  const unloadedArtifacts: string[] = [];
+  const retiredCopyIds = new Set<string>();
+  let resolveVerdict: (verdict: Verdict) => void = () => {};
   const verdict = new Promise<Verdict>(resolve => {
-    answer = resolve;
+    resolveVerdict = resolve;
   });
   const handler = new ProposalHandler({
     clock,
@@ -51,12 +51,12 @@
     orders: {
       load: async () => {},
       unload: async (artifact: string) => {
-        unloads.push(artifact);
+        unloadedArtifacts.push(artifact);
       },
     } as unknown as OrderSender,
     retirements: {
       retireCopy: () => new ResultAsync(verdict),
-      isRetired: copyId => retired.has(copyId),
+      isRetired: copyId => retiredCopyIds.has(copyId),
     },
     isUnpublished: async () => false,
     inheritedRetireHoldMs: 0,
@@ -78,36 +78,43 @@
       viewedAtMs: 0,
       ...fields,
     });
-  return {clock, propose, answer, retired, unloads};
+  return {
+    clock,
+    propose,
+    resolveVerdict,
+    retiredCopyIds,
+    unloadedArtifacts,
+  };
 }
 
 describe('propose retire', () => {
   // The log judges the model's retirement while a load of its adapter comes.
   // Were it taken, the adapter would hold memory and could serve nobody.
   it('loads no adapter of a model that the log judges', async () => {
-    const {propose, answer, unloads, clock} = createHandler();
+    const {propose, resolveVerdict, unloadedArtifacts, clock} = createHandler();
     const first = propose({});
     const load = {kind: 'load', artifact: 'a@1+x@1', bytes: 1} as const;
     expect((await propose(load)).reason).toBe('no-model');
     expect((await propose({})).reason).toBe('in-judgement');
-    answer(ok({kind: 'accepted'}));
+    resolveVerdict(ok({kind: 'accepted'}));
     expect((await first).accepted).toBe(true);
     await clock.advance(100);
-    expect(unloads).toEqual(['a@1']);
+    expect(unloadedArtifacts).toEqual(['a@1']);
   });
 
   // The record is in the log, its answer is lost: others count the copy as
   // retired, and each new proposal for it is void. Its memory must come free.
   it('unloads a copy whose verdict was lost once the log shows it', async () => {
-    const {propose, answer, retired, unloads, clock} = createHandler();
-    const place = {step: 'retire-copy', peer: 'log'};
-    answer(err(new BanyanfoldError('append-unknown', 'lost', place)));
+    const {propose, resolveVerdict, retiredCopyIds, unloadedArtifacts, clock} =
+      createHandler();
+    const details = {step: 'retire-copy', peer: 'log'};
+    resolveVerdict(err(new BanyanfoldError('append-unknown', 'lost', details)));
     const result = await propose({});
     expect(result).toEqual({accepted: false, reason: 'append-unknown'});
     await clock.advance(5_000);
-    expect(unloads).toEqual([]);
-    retired.add('found/a@1');
+    expect(unloadedArtifacts).toEqual([]);
+    retiredCopyIds.add('found/a@1');
     await clock.advance(1_000);
-    expect(unloads).toEqual(['a@1']);
+    expect(unloadedArtifacts).toEqual(['a@1']);
   });
 });
--- a/packages/banyanfold-agent/src/agent.ts
+++ b/packages/banyanfold-agent/src/agent.ts
@@ -97,12 +97,12 @@
   }
 
   function drain(): Promise<void> {
-    draining ??= finishWork(context);
+    draining ??= drainAttempts(context);
     return draining;
   }
 
   async function stop(): Promise<void> {
-    context.setLeaving();
+    context.markLeaving();
     await kernel.stop();
     await server.close();
     await context.close();
@@ -161,9 +161,9 @@
  * resume and seal here, and a successor that bound the port now would be a
  * second agent beside the engine.
  */
-async function finishWork(context: AgentContext): Promise<void> {
+async function drainAttempts(context: AgentContext): Promise<void> {
   const {clock, logger, registry, settings} = context;
-  context.setLeaving();
+  context.markLeaving();
   logger.info('drain', {open: registry.openCount()});
   const endMs = clock.nowMs() + settings.drainBoundMs;
   while (registry.openCount() > 0 && clock.nowMs() < endMs) {
--- a/packages/banyanfold-agent/src/agentContext.ts
+++ b/packages/banyanfold-agent/src/agentContext.ts
@@ -7,11 +7,11 @@
 import type {AttemptContext} from './attempts/attemptContext.js';
 import type {AttemptSealer} from './attempts/attemptSealer.js';
 import type {AttemptServer} from './attempts/attemptServer.js';
-import type {EngineWatch} from './control/engineWatch.js';
+import type {EngineMonitor} from './control/engineMonitor.js';
 import type {LoadReporter} from './control/loadReporter.js';
 import type {PrefixTracker} from './control/prefixTracker.js';
 import type {ProposalHandler} from './control/proposalHandler.js';
-import type {RunnerRole} from './control/runnerRole.js';
+import type {RunnerRoleState} from './control/runnerRoleState.js';
 import type {AdmissionQueue} from './attempts/admissionQueue.js';
 import type {AttemptRegistry} from './attempts/attemptRegistry.js';
 import type {EngineClient} from './engine/engineClient.js';
@@ -21,20 +21,20 @@
 import type {AgentSettings} from './settings.js';
 
 /** What all parts of an agent are built from. */
-export interface AgentBasis extends PluginContext {
+export interface AgentDependencies extends PluginContext {
   settings: AgentSettings;
   log: LogService;
   random: () => number;
 }
 
 /** Whether the agent leaves; once it does, it does so for good. */
-export interface Leaving {
+export interface LeavingFlag {
   isLeaving(): boolean;
-  setLeaving(): void;
+  markLeaving(): void;
 }
 
 /** The engine, its memory, and the right to give it orders. */
-export interface MemoryParts {
+export interface EngineParts {
   fence: FenceKeeper;
   engine: EngineClient;
   ledger: MemoryLedger;
@@ -51,16 +51,16 @@
 /** What planners and entries are told, and what they may ask for. */
 export interface ControlParts {
   prefixes: PrefixTracker;
-  role: RunnerRole;
+  role: RunnerRoleState;
   config: ConfigFollower;
   retirements: Retirements;
   reporter: LoadReporter;
-  watch: EngineWatch;
+  engineMonitor: EngineMonitor;
   proposals: ProposalHandler;
 }
 
 /** The way of a request. */
-export interface DataParts {
+export interface DataPathParts {
   attemptContext: AttemptContext;
   attempts: AttemptServer;
   seals: AttemptSealer;
@@ -69,12 +69,12 @@
 }
 
 /** What the parts of an agent share. */
-export type AgentContext = AgentBasis &
-  Leaving &
-  MemoryParts &
+export type AgentContext = AgentDependencies &
+  LeavingFlag &
+  EngineParts &
   AdmissionParts &
   ControlParts &
-  DataParts;
+  DataPathParts;
 
 /** Plug-ins of agents, by name. */
 export const agentPlugins = new PluginRegistry<AgentContext, Plugin>();
--- a/packages/banyanfold-agent/src/control/configView.ts
+++ b/packages/banyanfold-agent/src/control/configView.ts
@@ -1,14 +1,14 @@
 import {compileConfig, type ConfigState} from '@banyanfold/config';
-import {modelOf} from '../memory/allocationTable.js';
+import {baseModelOf} from '../memory/allocationTable.js';
 
 /** What the configuration in force says of a model's KV cache. */
-export function kvBytesPerTokenOf(
+export function findKvBytesPerToken(
   state: ConfigState | undefined,
   artifact: string,
 ): number | undefined {
-  const wanted = modelOf(artifact);
+  const modelId = baseModelOf(artifact);
   const model = state?.body.models.find(
-    ({name, version}) => `${name}@${version}` === wanted,
+    ({name, version}) => `${name}@${version}` === modelId,
   );
   return model?.kvBytesPerToken;
 }
@@ -19,6 +19,6 @@
   artifact: string,
 ): boolean {
   if (!state) return false;
-  const labelled = compileConfig(state.body).artifacts();
-  return !labelled.some(known => known.artifact === artifact);
+  const selectable = compileConfig(state.body).artifacts();
+  return !selectable.some(known => known.artifact === artifact);
 }
--- a/packages/banyanfold-agent/src/control/engineWatch.ts
+++ b/packages/banyanfold-agent/src/control/engineMonitor.ts
@@ -11,7 +11,7 @@
 const BARRIER_RETRY_CAP_MS = 5_000;
 
 /** What an engine watch works with. */
-export interface EngineWatchOptions {
+export interface EngineMonitorOptions {
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
@@ -28,16 +28,16 @@
 }
 
 /** Reads the engine's reports, one at a time, and feeds the ledger. */
-export class EngineWatch {
+export class EngineMonitor {
   private timer: Timer | undefined;
   private stopped = false;
-  private barrierOpen = false;
-  private barrierFencing = 0;
-  private barrierNotBeforeMs = 0;
-  private isOut = false;
+  private isBarrierInFlight = false;
+  private lastBarrierFencing = 0;
+  private nextBarrierAtMs = 0;
+  private readFailed = false;
   private readonly backoff: Backoff;
 
-  constructor(private readonly options: EngineWatchOptions) {
+  constructor(private readonly options: EngineMonitorOptions) {
     const {random} = options;
     this.backoff = new Backoff({capMs: BARRIER_RETRY_CAP_MS, random});
   }
@@ -54,7 +54,7 @@
 
   private async poll(): Promise<void> {
     await this.readReport();
-    void this.passBarrier();
+    void this.sendBarrierIfNeeded();
     if (this.stopped) return;
     const {clock, intervalMs} = this.options;
     this.timer = clock.setTimer(intervalMs, () => void this.poll());
@@ -67,18 +67,18 @@
       const {code, step, peer} = answer.error;
       metrics.count('agent_engine_report_failures_total');
       // Once an outage, not four times a second.
-      if (!this.isOut) logger.warn('report-failed', {code, step, peer});
-      this.isOut = true;
+      if (!this.readFailed) logger.warn('report-failed', {code, step, peer});
+      this.readFailed = true;
       return;
     }
-    this.isOut = false;
+    this.readFailed = false;
     const {report, timing} = answer.value;
     const events = ledger.observe(report, timing);
-    for (const event of events) this.note(event, report.takenAtMs);
+    for (const event of events) this.recordLedgerEvent(event, report.takenAtMs);
     onReport(report);
   }
 
-  private note(event: LedgerEvent, takenAtMs: number): void {
+  private recordLedgerEvent(event: LedgerEvent, takenAtMs: number): void {
     const {logger, metrics, orders, nextOrderId} = this.options;
     const {kind, artifact, copyId} = event;
     metrics.count('agent_ledger_events_total', {kind});
@@ -92,29 +92,32 @@
    * predecessor sent, later the load orders of our own that are in doubt. The
    * latter bear our number, so a higher one is taken for it.
    */
-  private async passBarrier(): Promise<void> {
+  private async sendBarrierIfNeeded(): Promise<void> {
     const {clock, ledger, fence} = this.options;
-    if (this.barrierOpen || !ledger.needsBarrier()) return;
+    if (this.isBarrierInFlight || !ledger.needsBarrier()) return;
     if (fence.current() === undefined) return;
-    if (clock.nowMs() < this.barrierNotBeforeMs) return;
-    this.barrierOpen = true;
-    const doubtful = ledger.doubts().map(({copyId}) => copyId);
-    const visibleAfterMs = await this.sendBarrier(doubtful.length > 0);
-    this.barrierOpen = false;
+    if (clock.nowMs() < this.nextBarrierAtMs) return;
+    this.isBarrierInFlight = true;
+    const inDoubtCopyIds = ledger.loadsInDoubt().map(({copyId}) => copyId);
+    const visibleAfterMs = await this.sendBarrier(inDoubtCopyIds.length > 0);
+    this.isBarrierInFlight = false;
     if (visibleAfterMs !== undefined) {
-      ledger.barrierPassed(visibleAfterMs, doubtful);
+      ledger.noteBarrierAccepted(visibleAfterMs, inDoubtCopyIds);
       this.backoff.reset();
       return;
     }
-    this.barrierNotBeforeMs = clock.nowMs() + this.backoff.nextDelayMs();
+    this.nextBarrierAtMs = clock.nowMs() + this.backoff.nextDelayMs();
   }
 
   /** @returns when reports show it, on the engine's clock, or undefined. */
-  private async sendBarrier(hasDoubts: boolean): Promise<number | undefined> {
+  private async sendBarrier(
+    hasLoadsInDoubt: boolean,
+  ): Promise<number | undefined> {
     const {fence, orders, runnerRole, nextOrderId} = this.options;
-    const needsNumber = hasDoubts && this.barrierFencing === fence.current();
-    if (needsNumber && !(await fence.tryAcquire())) return undefined;
-    this.barrierFencing = fence.current() ?? 0;
+    const needsNewFencing =
+      hasLoadsInDoubt && this.lastBarrierFencing === fence.current();
+    if (needsNewFencing && !(await fence.tryAcquire())) return undefined;
+    this.lastBarrierFencing = fence.current() ?? 0;
     return orders.setRole(runnerRole(), nextOrderId('barrier'));
   }
 }
--- a/packages/banyanfold-agent/src/control/loadReporter.ts
+++ b/packages/banyanfold-agent/src/control/loadReporter.ts
@@ -34,7 +34,7 @@
 
   constructor(private readonly options: LoadReporterOptions) {}
 
-  noteServed(artifact: string): void {
+  countServed(artifact: string): void {
     const count = this.servedCount.get(artifact) ?? 0;
     this.servedCount.set(artifact, count + 1);
   }
@@ -51,23 +51,23 @@
       queueDelayMs: queue.queueDelayMs(),
       // Until the use by a predecessor's requests is known, none is admitted: an
       // entry that sent some here would have them refused for want of memory.
-      leaving: isLeaving() || !ledger.isFresh(),
+      leaving: isLeaving() || !ledger.isKvUseKnown(),
     };
   }
 
   /** Whole, or what changed since the report that the caller holds. */
   reportSince(cursor: ReportCursor | undefined): AgentReport | ReportChanges {
-    return this.history.answer(this.makeReport(), cursor);
+    return this.history.answer(this.createReport(), cursor);
   }
 
   /** Observed as well: its reader may name it as the one that it holds. */
   report(): AgentReport {
-    const report = this.makeReport();
+    const report = this.createReport();
     this.history.observe(report);
     return report;
   }
 
-  private makeReport(): AgentReport {
+  private createReport(): AgentReport {
     const {settings, ledger, prefixes, configVersion, runnerRole} =
       this.options;
     return {
@@ -90,10 +90,11 @@
 
   /** A copy that drains for its retirement must get no new requests. */
   private toCopy(allocation: Allocation): Copy {
-    const {artifact, bytes, state, copyId, users, lastUsedMs} = allocation;
-    const unusedMs = this.options.clock.nowMs() - lastUsedMs;
-    const idleMs = users > 0 ? 0 : Math.round(unusedMs);
-    const shownState = allocation.retiring ? 'releasing' : state;
-    return {artifact, bytes, state: shownState, copyId, idleMs};
+    const {artifact, bytes, state, copyId, activeRequests, lastUsedAtMs} =
+      allocation;
+    const unusedMs = this.options.clock.nowMs() - lastUsedAtMs;
+    const idleMs = activeRequests > 0 ? 0 : Math.round(unusedMs);
+    const reportedState = allocation.isRetiring ? 'releasing' : state;
+    return {artifact, bytes, state: reportedState, copyId, idleMs};
   }
 }
--- a/packages/banyanfold-agent/src/control/prefixTracker.ts
+++ b/packages/banyanfold-agent/src/control/prefixTracker.ts
@@ -20,11 +20,11 @@
   }
 
   /** A request with this prefix went through the engine. */
-  confirm(prefixHash: string): void {
+  noteCached(prefixHash: string): void {
     if (!prefixHash) return;
     this.prefixes.delete(prefixHash);
     this.prefixes.add(prefixHash);
-    this.trim();
+    this.evictOldest();
   }
 
   /** Applies cache events; says whether some were missing. */
@@ -37,7 +37,7 @@
         hadGap = true;
       }
       this.nextSeq = event.seq + 1;
-      if (event.kind === 'stored') this.confirm(event.prefixHash);
+      if (event.kind === 'stored') this.noteCached(event.prefixHash);
       else this.prefixes.delete(event.prefixHash);
     }
     this.nextSeq = Math.max(this.nextSeq, nextSeq);
@@ -48,7 +48,7 @@
     return [...this.prefixes].reverse();
   }
 
-  private trim(): void {
+  private evictOldest(): void {
     for (const oldest of this.prefixes) {
       if (this.prefixes.size <= this.maxPrefixes) return;
       this.prefixes.delete(oldest);
--- a/packages/banyanfold-agent/src/control/proposalHandler.ts
+++ b/packages/banyanfold-agent/src/control/proposalHandler.ts
@@ -3,12 +3,12 @@
 import type {Proposal, ProposalResult} from '@banyanfold/protocol';
 import type {OrderSender} from '../engine/orderSender.js';
 import type {Allocation} from '../memory/allocation.js';
-import {modelOf} from '../memory/allocationTable.js';
+import {baseModelOf} from '../memory/allocationTable.js';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
 
-const MAX_REMEMBERED = 1_024;
+const MAX_REMEMBERED_RESULTS = 1_024;
 const DRAIN_POLL_MS = 20;
-const LOST_VERDICT_MS = 300_000;
+const LOST_VERDICT_WATCH_MS = 300_000;
 const LOST_VERDICT_POLL_MS = 500;
 
 /** What a proposal handler works with. */
@@ -35,10 +35,10 @@
  * paused, cost moves and never memory or the last copy.
  */
 export class ProposalHandler {
-  private highestEpoch = 0;
+  private highestPlannerEpoch = 0;
   private stopped = false;
   /** Artifacts whose retirement the log judges now. */
-  private readonly judged = new Set<string>();
+  private readonly undecided = new Set<string>();
   /** Results by proposal id, so that a repeated proposal has one effect. */
   private readonly results = new Map<string, Promise<ProposalResult>>();
   private readonly handlers: Record<
@@ -58,19 +58,19 @@
 
   /** @example await handler.propose(proposal) // {accepted: true, …} */
   propose(proposal: Proposal): Promise<ProposalResult> {
-    const known = this.results.get(proposal.proposalId);
-    if (known) return known;
-    const result = this.judge(proposal);
+    const earlier = this.results.get(proposal.proposalId);
+    if (earlier) return earlier;
+    const result = this.handleAndRecord(proposal);
     this.results.set(proposal.proposalId, result);
     for (const oldest of this.results.keys()) {
-      if (this.results.size <= MAX_REMEMBERED) break;
+      if (this.results.size <= MAX_REMEMBERED_RESULTS) break;
       this.results.delete(oldest);
     }
     return result;
   }
 
-  private async judge(proposal: Proposal): Promise<ProposalResult> {
-    const result = await this.checkAndHandle(proposal);
+  private async handleAndRecord(proposal: Proposal): Promise<ProposalResult> {
+    const result = await this.validateAndHandle(proposal);
     const {logger, metrics} = this.options;
     const {kind, reason} = {kind: proposal.kind, reason: result.reason};
     metrics.count('agent_proposals_total', {kind, reason});
@@ -85,11 +85,11 @@
     return result;
   }
 
-  private async checkAndHandle(proposal: Proposal): Promise<ProposalResult> {
-    if (proposal.plannerEpoch < this.highestEpoch) {
+  private async validateAndHandle(proposal: Proposal): Promise<ProposalResult> {
+    if (proposal.plannerEpoch < this.highestPlannerEpoch) {
       return refused('old-planner');
     }
-    this.highestEpoch = proposal.plannerEpoch;
+    this.highestPlannerEpoch = proposal.plannerEpoch;
     if (this.options.isLeaving()) return refused('leaving');
     if (!this.options.hasFence()) return refused('no-fence');
     return this.handlers[proposal.kind](proposal);
@@ -98,8 +98,8 @@
   private async load({artifact, bytes}: Proposal): Promise<ProposalResult> {
     const {ledger, orders, nextOrderId} = this.options;
     if (!artifact || bytes <= 0) return refused('bad-proposal');
-    const model = modelOf(artifact);
-    const hasModel = ledger.canServe(model) && !this.judged.has(model);
+    const model = baseModelOf(artifact);
+    const hasModel = ledger.canServe(model) && !this.undecided.has(model);
     if (model !== artifact && !hasModel) return refused('no-model');
     const orderId = nextOrderId(artifact);
     const reserved = ledger.reserveLoad({artifact, bytes, orderId});
@@ -113,18 +113,18 @@
     const {ledger} = this.options;
     const allocation = ledger.get(proposal.artifact);
     if (!allocation || allocation.state !== 'held') return refused('not-held');
-    if (allocation.retiring) return accepted('retiring');
+    if (allocation.isRetiring) return accepted('retiring');
     if (this.hasAdapters(proposal.artifact)) return refused('adapters-held');
-    if (this.isHeldBack(allocation)) return refused('inherited-too-new');
-    if (this.judged.has(proposal.artifact)) return refused('in-judgement');
+    if (this.isInRetireHold(allocation)) return refused('inherited-too-new');
+    if (this.undecided.has(proposal.artifact)) return refused('in-judgement');
     // An adapter loaded while the log judges would outlive its model.
-    this.judged.add(proposal.artifact);
-    const result = await this.askLog(proposal, allocation);
-    this.judged.delete(proposal.artifact);
+    this.undecided.add(proposal.artifact);
+    const result = await this.requestRetirement(proposal, allocation);
+    this.undecided.delete(proposal.artifact);
     return result;
   }
 
-  private async askLog(
+  private async requestRetirement(
     proposal: Proposal,
     allocation: Allocation,
   ): Promise<ProposalResult> {
@@ -141,17 +141,17 @@
       isUnpublished: await this.isUnpublished(proposal),
     });
     if (verdict.isErr()) {
-      void this.awaitLostVerdict(allocation);
+      void this.watchForLostVerdict(allocation);
       return refused(verdict.error.code);
     }
     if (verdict.value.kind === 'void') return refused(verdict.value.why);
-    this.beginRetiring(allocation);
+    this.startRetiring(allocation);
     return accepted('retiring');
   }
 
-  private beginRetiring(allocation: Allocation): void {
-    if (allocation.retiring) return;
-    allocation.retiring = true;
+  private startRetiring(allocation: Allocation): void {
+    if (allocation.isRetiring) return;
+    allocation.isRetiring = true;
     void this.unloadWhenUnused(allocation);
   }
 
@@ -161,12 +161,12 @@
    * memory would stay taken. So the log is watched for a while, much shorter
    * than it remembers a retirement.
    */
-  private async awaitLostVerdict(allocation: Allocation): Promise<void> {
+  private async watchForLostVerdict(allocation: Allocation): Promise<void> {
     const {clock, retirements} = this.options;
-    const endMs = clock.nowMs() + LOST_VERDICT_MS;
+    const endMs = clock.nowMs() + LOST_VERDICT_WATCH_MS;
     while (!this.stopped && clock.nowMs() < endMs) {
       if (retirements.isRetired(allocation.copyId)) {
-        this.beginRetiring(allocation);
+        this.startRetiring(allocation);
         return;
       }
       await sleep(clock, LOST_VERDICT_POLL_MS);
@@ -184,7 +184,9 @@
   private hasAdapters(model: string): boolean {
     return this.options.ledger
       .all()
-      .some(({artifact}) => artifact !== model && modelOf(artifact) === model);
+      .some(
+        ({artifact}) => artifact !== model && baseModelOf(artifact) === model,
+      );
   }
 
   /**
@@ -192,9 +194,11 @@
    * process gave it, and a record here under the new id would not void theirs:
    * both copies would go. Their proposals are over after the hold.
    */
-  private isHeldBack({isInherited, knownSinceMs}: Allocation): boolean {
+  private isInRetireHold({isInherited, firstKnownAtMs}: Allocation): boolean {
     const {clock, inheritedRetireHoldMs} = this.options;
-    return isInherited && clock.nowMs() - knownSinceMs < inheritedRetireHoldMs;
+    return (
+      isInherited && clock.nowMs() - firstKnownAtMs < inheritedRetireHoldMs
+    );
   }
 
   /**
@@ -210,7 +214,7 @@
   /** Requests that run on the copy, or were admitted to it, end first. */
   private async unloadWhenUnused(allocation: Allocation): Promise<void> {
     const {clock, ledger, orders, nextOrderId} = this.options;
-    while (allocation.users > 0) {
+    while (allocation.activeRequests > 0) {
       if (this.stopped) return;
       await sleep(clock, DRAIN_POLL_MS);
     }
--- a/packages/banyanfold-agent/src/control/runnerRole.ts
+++ b/packages/banyanfold-agent/src/control/runnerRoleState.ts
@@ -1,8 +1,8 @@
 import type {EngineReport} from '../engine/engineSchemas.js';
 
 /** The engine's role: as ordered, until a later report says otherwise. */
-export class RunnerRole {
-  private setAtMs = Number.NEGATIVE_INFINITY;
+export class RunnerRoleState {
+  private setAtEngineMs = Number.NEGATIVE_INFINITY;
 
   constructor(private role: string) {}
 
@@ -10,13 +10,13 @@
     return this.role;
   }
 
-  set(role: string, setAtMs: number): void {
+  set(role: string, setAtEngineMs: number): void {
     this.role = role;
-    this.setAtMs = setAtMs;
+    this.setAtEngineMs = setAtEngineMs;
   }
 
   /** A report from before the last order would bring the old role back. */
   observe({role, takenAtMs}: EngineReport): void {
-    if (role && takenAtMs > this.setAtMs) this.role = role;
+    if (role && takenAtMs > this.setAtEngineMs) this.role = role;
   }
 }
--- a/packages/banyanfold-agent/src/engine/engineClient.ts
+++ b/packages/banyanfold-agent/src/engine/engineClient.ts
@@ -100,11 +100,11 @@
   async report(): Promise<
     Result<{report: EngineReport; timing: ReportTiming}, BanyanfoldError>
   > {
-    const askedAtMs = this.options.clock.nowMs();
+    const sentAtMs = this.options.clock.nowMs();
     const answer = await this.getJson('/report', engineReportSchema);
     return answer.andThen(({value, engineNowMs}) => {
       if (Number.isFinite(engineNowMs)) {
-        return ok({report: value, timing: {askedAtMs, engineNowMs}});
+        return ok({report: value, timing: {sentAtMs, engineNowMs}});
       }
       const cause = `no ${ENGINE_NOW_HEADER}: the report proves nothing`;
       return err(this.fault('bad-answer', 'read-report', cause));
--- a/packages/banyanfold-agent/src/engine/orderSender.ts
+++ b/packages/banyanfold-agent/src/engine/orderSender.ts
@@ -63,14 +63,14 @@
     const {ledger} = this.options;
     const order = this.newOrder({orderId, kind: 'load', artifact, bytes});
     const sent = await this.transmit(order, MAX_LOAD_TRANSMISSIONS, {
-      beforeSend: () => ledger.loadSent(orderId),
+      beforeSend: () => ledger.noteLoadSent(orderId),
     });
     if (sent.answer?.kind === 'accepted') {
-      ledger.loadReceived(orderId, sent.answer.visibleAfterMs);
+      ledger.noteLoadAccepted(orderId, sent.answer.visibleAfterMs);
       return;
     }
-    if (sent.left) ledger.loadInDoubt(orderId);
-    else ledger.loadNeverSent(orderId);
+    if (sent.left) ledger.noteLoadInDoubt(orderId);
+    else ledger.noteLoadNeverSent(orderId);
     this.options.logger.warn('load-order-open', {
       artifact,
       order: orderId,
@@ -96,7 +96,7 @@
         isWanted,
       });
       if (sent.answer?.kind === 'accepted') {
-        ledger.unloadReceived(orderId, sent.answer.visibleAfterMs);
+        ledger.noteUnloadAccepted(orderId, sent.answer.visibleAfterMs);
         return;
       }
       await sleep(clock, RESEND_CAP_MS);
--- a/packages/banyanfold-agent/src/memory/allocation.ts
+++ b/packages/banyanfold-agent/src/memory/allocation.ts
@@ -10,30 +10,30 @@
   /** The id of the load order; made up for a copy found at the start. */
   copyId: string;
   /** Own clock: when its load order was last sent; undefined if found. */
-  loadSentMs?: number;
+  loadSentAtMs?: number;
   /**
    * Engine clock: from then on a report that lacks the copy proves that it
    * isn't there, and that no order still under way can bring it.
    */
-  provenAfterMs?: number;
+  conclusiveAfterMs?: number;
   /** Whether some report has listed it. */
-  seen: boolean;
+  isReported: boolean;
   /** Engine clock: a later report shows that the engine took the unload. */
-  unloadReceivedMs?: number;
+  unloadVisibleAfterMs?: number;
   unloadOrderId?: string;
   /** Own clock: when the unload order was first sent. */
-  unloadSentMs?: number;
+  unloadSentAtMs?: number;
   /** Engine clock: the unload order had been sent by then. */
-  unloadSentByMs?: number;
+  unloadSentBeforeEngineMs?: number;
   /** Requests that use it now. */
-  users: number;
-  lastUsedMs: number;
+  activeRequests: number;
+  lastUsedAtMs: number;
   /** Set while it drains for its retirement: no new request gets it. */
-  retiring: boolean;
+  isRetiring: boolean;
   /** Found in a report: an earlier process ordered it, under another id. */
   isInherited: boolean;
   /** Own clock. */
-  knownSinceMs: number;
+  firstKnownAtMs: number;
 }
 
 /** Why a load can't be reserved. */
@@ -72,22 +72,22 @@
 /** When a report was asked for and answered. */
 export interface ReportTiming {
   /** Own clock, before the request left. */
-  askedAtMs: number;
+  sentAtMs: number;
   /** Engine clock, when it answered. */
   engineNowMs: number;
 }
 
 /** Makes the times of an engine that is gone prove nothing any more. */
-export function forgetEngineTimes(
+export function resetEngineTimes(
   allocation: Allocation,
   engineNowMs: number,
   nowMs: number,
 ): void {
   const isDoubt = allocation.state === 'in-doubt';
-  allocation.provenAfterMs = isDoubt ? undefined : engineNowMs;
-  if (isDoubt) allocation.loadSentMs = nowMs;
-  if (allocation.unloadReceivedMs !== undefined) {
-    allocation.unloadReceivedMs = engineNowMs;
+  allocation.conclusiveAfterMs = isDoubt ? undefined : engineNowMs;
+  if (isDoubt) allocation.loadSentAtMs = nowMs;
+  if (allocation.unloadVisibleAfterMs !== undefined) {
+    allocation.unloadVisibleAfterMs = engineNowMs;
   }
-  allocation.unloadSentByMs = undefined;
+  allocation.unloadSentBeforeEngineMs = undefined;
 }
--- a/packages/banyanfold-agent/src/memory/allocationTable.ts
+++ b/packages/banyanfold-agent/src/memory/allocationTable.ts
@@ -5,7 +5,7 @@
  *
  * @example modelOf('claims@3+suva@1') // 'claims@3'
  */
-export function modelOf(artifact: string): string {
+export function baseModelOf(artifact: string): string {
   return artifact.split('+')[0] ?? artifact;
 }
 
@@ -29,19 +29,19 @@
     return [...this.allocations.values()];
   }
 
-  byCopy(copyId: string): Allocation | undefined {
+  findByCopyId(copyId: string): Allocation | undefined {
     return this.all().find(allocation => allocation.copyId === copyId);
   }
 
-  byUnloadOrder(orderId: string): Allocation | undefined {
+  findByUnloadOrderId(orderId: string): Allocation | undefined {
     return this.all().find(({unloadOrderId}) => unloadOrderId === orderId);
   }
 
   /** Copies whose load order may or may not still arrive. */
-  doubts(): Allocation[] {
+  loadsInDoubt(): Allocation[] {
     return this.all().filter(
-      ({state, provenAfterMs}) =>
-        state === 'in-doubt' && provenAfterMs === undefined,
+      ({state, conclusiveAfterMs}) =>
+        state === 'in-doubt' && conclusiveAfterMs === undefined,
     );
   }
 
@@ -52,24 +52,27 @@
   }
 
   canServe(artifact: string): boolean {
-    return neededArtifacts(artifact).every(needed => {
+    return requiredArtifacts(artifact).every(needed => {
       const allocation = this.allocations.get(needed);
-      return allocation?.state === 'held' && !allocation.retiring;
+      return allocation?.state === 'held' && !allocation.isRetiring;
     });
   }
 
-  countUse(artifact: string, change: 1 | -1, nowMs: number): void {
-    for (const needed of neededArtifacts(artifact)) {
+  updateUse(artifact: string, change: 1 | -1, nowMs: number): void {
+    for (const needed of requiredArtifacts(artifact)) {
       const allocation = this.allocations.get(needed);
       if (!allocation) continue;
-      allocation.users = Math.max(0, allocation.users + change);
-      allocation.lastUsedMs = nowMs;
+      allocation.activeRequests = Math.max(
+        0,
+        allocation.activeRequests + change,
+      );
+      allocation.lastUsedAtMs = nowMs;
     }
   }
 }
 
 /** An adapter needs its model too. */
-function neededArtifacts(artifact: string): string[] {
-  const model = modelOf(artifact);
+function requiredArtifacts(artifact: string): string[] {
+  const model = baseModelOf(artifact);
   return model === artifact ? [artifact] : [artifact, model];
 }
--- a/packages/banyanfold-agent/src/memory/kvAccount.ts
+++ b/packages/banyanfold-agent/src/memory/kvAccount.ts
@@ -16,23 +16,23 @@
  * ended it.
  */
 export class KvAccount {
-  private readonly reserved = new Map<string, number>();
-  private reservedTotalBytes = 0;
+  private readonly bytesByRequest = new Map<string, number>();
+  private totalReservedBytes = 0;
   /** In use by requests that came before this process. */
   private inheritedBytes = 0;
-  private wasCertain = false;
+  private wasComplete = false;
 
   constructor(private readonly options: KvAccountOptions) {}
 
   reserve(requestKey: string, bytes: number): void {
     this.release(requestKey);
-    this.reserved.set(requestKey, bytes);
-    this.reservedTotalBytes += bytes;
+    this.bytesByRequest.set(requestKey, bytes);
+    this.totalReservedBytes += bytes;
   }
 
   release(requestKey: string): void {
-    this.reservedTotalBytes -= this.reserved.get(requestKey) ?? 0;
-    this.reserved.delete(requestKey);
+    this.totalReservedBytes -= this.bytesByRequest.get(requestKey) ?? 0;
+    this.bytesByRequest.delete(requestKey);
   }
 
   /**
@@ -41,20 +41,20 @@
    * the inventory is certain, a lagging report may lack the predecessor's last
    * requests, so a lower figure from then on is the bound, and not before.
    */
-  observe({kvUsedBytes}: LedgerReport, {isCertain}: {isCertain: boolean}) {
-    if (!isCertain || !this.wasCertain) this.inheritedBytes = kvUsedBytes;
+  observe({kvUsedBytes}: LedgerReport, {isComplete}: {isComplete: boolean}) {
+    if (!isComplete || !this.wasComplete) this.inheritedBytes = kvUsedBytes;
     else this.inheritedBytes = Math.min(this.inheritedBytes, kvUsedBytes);
-    this.wasCertain = isCertain;
+    this.wasComplete = isComplete;
   }
 
-  ownBytes(): number {
-    return this.reservedTotalBytes;
+  reservedBytes(): number {
+    return this.totalReservedBytes;
   }
 
   committedBytes(nowMs: number): number {
     const ageMs = nowMs - this.options.startMs;
-    const isOver = ageMs > this.options.inheritedBoundMs;
-    const inheritedBytes = isOver ? 0 : this.inheritedBytes;
-    return this.reservedTotalBytes + inheritedBytes;
+    const hasInheritedExpired = ageMs > this.options.inheritedBoundMs;
+    const inheritedBytes = hasInheritedExpired ? 0 : this.inheritedBytes;
+    return this.totalReservedBytes + inheritedBytes;
   }
 }
--- a/packages/banyanfold-agent/src/memory/memoryBudget.ts
+++ b/packages/banyanfold-agent/src/memory/memoryBudget.ts
@@ -14,42 +14,51 @@
   kvFloorShare: number;
   inheritedBoundMs: number;
   /** Whether a load that nobody here knows of may still arrive. */
-  inQuarantine(): boolean;
+  isInQuarantine(): boolean;
   /** Whether the use of requests from before the start is known. */
-  isFresh(): boolean;
+  isKvUseKnown(): boolean;
 }
 
 /** What of an engine's memory may still be promised, and to what. */
 export class MemoryBudget {
-  private readonly kv: KvAccount;
-  private latest: LedgerReport | undefined;
+  private readonly kvAccount: KvAccount;
+  private lastReport: LedgerReport | undefined;
 
   constructor(private readonly options: MemoryBudgetOptions) {
-    this.kv = new KvAccount({...options, startMs: options.clock.nowMs()});
+    this.kvAccount = new KvAccount({
+      ...options,
+      startMs: options.clock.nowMs(),
+    });
   }
 
   observe(report: LedgerReport): void {
-    this.latest = report;
-    this.kv.observe(report, {isCertain: !this.options.inQuarantine()});
+    this.lastReport = report;
+    this.kvAccount.observe(report, {
+      isComplete: !this.options.isInQuarantine(),
+    });
   }
 
   capacityBytes(): number {
-    return this.latest?.memoryCapacityBytes ?? 0;
+    return this.lastReport?.memoryCapacityBytes ?? 0;
   }
 
   kvCapacityBytes(): number {
-    return this.latest?.kvCapacityBytes ?? 0;
+    return this.lastReport?.kvCapacityBytes ?? 0;
   }
 
   kvUsedBytes(): number {
-    return Math.max(this.kv.ownBytes(), this.latest?.kvUsedBytes ?? 0);
+    return Math.max(
+      this.kvAccount.reservedBytes(),
+      this.lastReport?.kvUsedBytes ?? 0,
+    );
   }
 
   /** What a load may take now. */
   freeBytes(): number {
     const weightBytes = this.options.table.weightBytes();
-    const free = this.capacityBytes() - weightBytes - this.kvShareBytes();
-    return Math.max(0, free);
+    const freeBytes =
+      this.capacityBytes() - weightBytes - this.kvClaimedBytes();
+    return Math.max(0, freeBytes);
   }
 
   /**
@@ -58,17 +67,17 @@
    * a predecessor's late load may still come, and loads never take the floor.
    */
   kvFreeBytes(): number {
-    if (!this.options.isFresh()) return 0;
-    const ceilingBytes = Math.min(this.kvCapacityBytes(), this.kvRoomBytes());
-    return Math.max(0, ceilingBytes - this.kvCommittedBytes());
+    if (!this.options.isKvUseKnown()) return 0;
+    const limitBytes = Math.min(this.kvCapacityBytes(), this.kvLimitBytes());
+    return Math.max(0, limitBytes - this.kvCommittedBytes());
   }
 
   reserveKv(requestKey: string, bytes: number): void {
-    this.kv.reserve(requestKey, bytes);
+    this.kvAccount.reserve(requestKey, bytes);
   }
 
   releaseKv(requestKey: string): void {
-    this.kv.release(requestKey);
+    this.kvAccount.release(requestKey);
   }
 
   private kvFloorBytes(): number {
@@ -76,21 +85,21 @@
   }
 
   /** What of the model memory counts as taken by KV cache. */
-  private kvShareBytes(): number {
+  private kvClaimedBytes(): number {
     if (this.options.kvPool === 'separate') return 0;
     return Math.max(this.kvCommittedBytes(), this.kvFloorBytes());
   }
 
   /** How far KV cache may grow before it meets the weights. */
-  private kvRoomBytes(): number {
-    const {kvPool, table, inQuarantine} = this.options;
+  private kvLimitBytes(): number {
+    const {kvPool, table, isInQuarantine} = this.options;
     if (kvPool === 'separate') return this.kvCapacityBytes();
     const memoryBytes = this.capacityBytes() - table.weightBytes();
-    if (!inQuarantine()) return memoryBytes;
+    if (!isInQuarantine()) return memoryBytes;
     return Math.min(memoryBytes, this.kvFloorBytes());
   }
 
   private kvCommittedBytes(): number {
-    return this.kv.committedBytes(this.options.clock.nowMs());
+    return this.kvAccount.committedBytes(this.options.clock.nowMs());
   }
 }
--- a/packages/banyanfold-agent/src/memory/memoryLedger.ts
+++ b/packages/banyanfold-agent/src/memory/memoryLedger.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@banyanfold/core';
 import {err, ok, type Result} from 'neverthrow';
 import {
-  forgetEngineTimes,
+  resetEngineTimes,
   type Allocation,
   type LedgerEvent,
   type LedgerReport,
@@ -9,7 +9,7 @@
   type ReserveRefusal,
 } from './allocation.js';
 import {AllocationTable} from './allocationTable.js';
-import {judgeAbsent, judgeListed} from './judgeReport.js';
+import {reconcileAbsent, reconcileListed} from './reconcileReport.js';
 import {MemoryBudget, type KvPool} from './memoryBudget.js';
 import {Quarantine} from './quarantine.js';
 
@@ -25,7 +25,7 @@
   kvFloorShare: number;
   inheritedBoundMs: number;
   /** Names a copy that a report lists and no order here made. */
-  nameCopy(artifact: string): string;
+  createCopyId(artifact: string): string;
 }
 
 /**
@@ -41,7 +41,7 @@
   readonly budget: MemoryBudget;
   private readonly table = new AllocationTable();
   private readonly quarantine: Quarantine;
-  private latest: LedgerReport | undefined;
+  private lastReport: LedgerReport | undefined;
   private lastEngineNowMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: MemoryLedgerOptions) {
@@ -50,8 +50,8 @@
     this.budget = new MemoryBudget({
       ...options,
       table: this.table,
-      inQuarantine: () => this.inQuarantine(),
-      isFresh: () => this.isFresh(),
+      isInQuarantine: () => this.isInQuarantine(),
+      isKvUseKnown: () => this.isKvUseKnown(),
     });
   }
 
@@ -65,7 +65,7 @@
   }
 
   hasReport(): boolean {
-    return this.latest !== undefined;
+    return this.lastReport !== undefined;
   }
 
   /** Whether requests for an artifact can be served: it and its model. */
@@ -75,27 +75,27 @@
 
   /** A request for the artifact is admitted: it isn't unloaded meanwhile. */
   beginUse(artifact: string): void {
-    this.table.countUse(artifact, 1, this.nowMs());
+    this.table.updateUse(artifact, 1, this.nowMs());
   }
 
   endUse(artifact: string): void {
-    this.table.countUse(artifact, -1, this.nowMs());
+    this.table.updateUse(artifact, -1, this.nowMs());
   }
 
   /** Whether orders of an earlier incarnation can still change the engine. */
-  inQuarantine(): boolean {
+  isInQuarantine(): boolean {
     return !this.quarantine.isOver;
   }
 
   /** Whether requests may be admitted: their predecessors' use is known. */
-  isFresh(): boolean {
-    return this.quarantine.isFresh;
+  isKvUseKnown(): boolean {
+    return this.quarantine.isKvUseKnown;
   }
 
   /** Whether an order under our fencing number is needed as a barrier. */
   needsBarrier(): boolean {
     if (!this.options.checksFencing) return false;
-    return this.quarantine.needsBarrier || this.doubts().length > 0;
+    return this.quarantine.needsBarrier || this.loadsInDoubt().length > 0;
   }
 
   /**
@@ -104,18 +104,21 @@
    *
    * @param visibleAfterMs engine clock: later reports show all earlier orders.
    */
-  barrierPassed(visibleAfterMs: number, doubtful: readonly string[]): void {
+  noteBarrierAccepted(
+    visibleAfterMs: number,
+    inDoubtCopyIds: readonly string[],
+  ): void {
     if (!this.options.checksFencing) return;
-    this.quarantine.barrierPassed(visibleAfterMs);
-    for (const allocation of this.doubts()) {
-      if (!doubtful.includes(allocation.copyId)) continue;
-      allocation.provenAfterMs = visibleAfterMs;
+    this.quarantine.noteBarrierAccepted(visibleAfterMs);
+    for (const allocation of this.loadsInDoubt()) {
+      if (!inDoubtCopyIds.includes(allocation.copyId)) continue;
+      allocation.conclusiveAfterMs = visibleAfterMs;
     }
   }
 
   /** Copies whose load order may or may not still arrive. */
-  doubts(): Allocation[] {
-    return this.table.doubts();
+  loadsInDoubt(): Allocation[] {
+    return this.table.loadsInDoubt();
   }
 
   /** Sets a copy's bytes aside, before its load order leaves. */
@@ -124,13 +127,13 @@
     bytes: number;
     orderId: string;
   }): Result<Allocation, ReserveRefusal> {
-    const present = this.table.get(order.artifact);
-    if (present?.state === 'releasing' || present?.retiring) {
+    const existing = this.table.get(order.artifact);
+    if (existing?.state === 'releasing' || existing?.isRetiring) {
       return err('releasing');
     }
-    if (present) return ok(present);
-    if (!this.latest) return err('no-report');
-    if (this.inQuarantine()) return err('quarantine');
+    if (existing) return ok(existing);
+    if (!this.lastReport) return err('no-report');
+    if (this.isInQuarantine()) return err('quarantine');
     if (order.bytes > this.budget.freeBytes()) return err('no-memory');
     const nowMs = this.options.clock.nowMs();
     const allocation: Allocation = {
@@ -138,22 +141,22 @@
       bytes: order.bytes,
       state: 'reserved',
       copyId: order.orderId,
-      loadSentMs: nowMs,
-      seen: false,
-      users: 0,
-      lastUsedMs: nowMs,
-      retiring: false,
+      loadSentAtMs: nowMs,
+      isReported: false,
+      activeRequests: 0,
+      lastUsedAtMs: nowMs,
+      isRetiring: false,
       isInherited: false,
-      knownSinceMs: nowMs,
+      firstKnownAtMs: nowMs,
     };
     this.table.set(allocation);
     return ok(allocation);
   }
 
   /** The load order leaves, for the first time or again. */
-  loadSent(copyId: string): void {
-    const allocation = this.table.byCopy(copyId);
-    if (allocation) allocation.loadSentMs = this.options.clock.nowMs();
+  noteLoadSent(copyId: string): void {
+    const allocation = this.table.findByCopyId(copyId);
+    if (allocation) allocation.loadSentAtMs = this.options.clock.nowMs();
   }
 
   /**
@@ -161,25 +164,25 @@
    *
    * @param visibleAfterMs engine clock: a later report shows the copy.
    */
-  loadReceived(copyId: string, visibleAfterMs: number): void {
-    const allocation = this.table.byCopy(copyId);
+  noteLoadAccepted(copyId: string, visibleAfterMs: number): void {
+    const allocation = this.table.findByCopyId(copyId);
     if (!allocation || allocation.state === 'held') return;
     allocation.state = 'reserved';
-    allocation.provenAfterMs ??= visibleAfterMs;
+    allocation.conclusiveAfterMs ??= visibleAfterMs;
   }
 
   /** The order's answer was lost, or it was refused and may be repeated. */
-  loadInDoubt(copyId: string): void {
-    const allocation = this.table.byCopy(copyId);
-    if (allocation?.state === 'reserved' && !allocation.seen) {
+  noteLoadInDoubt(copyId: string): void {
+    const allocation = this.table.findByCopyId(copyId);
+    if (allocation?.state === 'reserved' && !allocation.isReported) {
       allocation.state = 'in-doubt';
     }
   }
 
   /** The order provably never left, or can never be taken. */
-  loadNeverSent(copyId: string): void {
-    const allocation = this.table.byCopy(copyId);
-    if (!allocation || allocation.seen) return;
+  noteLoadNeverSent(copyId: string): void {
+    const allocation = this.table.findByCopyId(copyId);
+    if (!allocation || allocation.isReported) return;
     this.table.delete(allocation.artifact);
   }
 
@@ -189,45 +192,45 @@
     if (!allocation) return;
     allocation.state = 'releasing';
     allocation.unloadOrderId = orderId;
-    allocation.unloadReceivedMs = undefined;
-    allocation.unloadSentMs = this.nowMs();
-    allocation.unloadSentByMs = undefined;
+    allocation.unloadVisibleAfterMs = undefined;
+    allocation.unloadSentAtMs = this.nowMs();
+    allocation.unloadSentBeforeEngineMs = undefined;
   }
 
   /** @param visibleAfterMs engine clock: a later report shows the unload. */
-  unloadReceived(orderId: string, visibleAfterMs: number): void {
-    const allocation = this.table.byUnloadOrder(orderId);
-    if (allocation) allocation.unloadReceivedMs = visibleAfterMs;
+  noteUnloadAccepted(orderId: string, visibleAfterMs: number): void {
+    const allocation = this.table.findByUnloadOrderId(orderId);
+    if (allocation) allocation.unloadVisibleAfterMs = visibleAfterMs;
   }
 
   /** Takes a report as evidence, if it is newer than all before it. */
   observe(report: LedgerReport, timing: ReportTiming): LedgerEvent[] {
-    const events = this.noticeEngineRestart(timing);
-    this.quarantine.noteTiming(timing);
-    this.endLateBounds(timing);
-    this.noteSentUnloads(timing);
-    if (report.takenAtMs <= (this.latest?.takenAtMs ?? -1)) return events;
-    this.latest = report;
-    this.quarantine.noteReport(report.takenAtMs);
+    const events = this.detectEngineRestart(timing);
+    this.quarantine.observeTiming(timing);
+    this.resolveExpiredDoubts(timing);
+    this.noteUnloadsSentBefore(timing);
+    if (report.takenAtMs <= (this.lastReport?.takenAtMs ?? -1)) return events;
+    this.lastReport = report;
+    this.quarantine.observeReport(report.takenAtMs);
     this.budget.observe(report);
-    return [...events, ...this.judge(report)];
+    return [...events, ...this.reconcile(report)];
   }
 
-  private judge(report: LedgerReport): LedgerEvent[] {
+  private reconcile(report: LedgerReport): LedgerEvent[] {
     const events: LedgerEvent[] = [];
     const {takenAtMs, models} = report;
-    const {nameCopy} = this.options;
-    const context = {takenAtMs, nowMs: this.nowMs(), nameCopy};
+    const {createCopyId} = this.options;
+    const context = {takenAtMs, nowMs: this.nowMs(), createCopyId};
     for (const model of models) {
       const known = this.table.get(model.artifact);
-      const judged = judgeListed(known, model, context);
-      if (judged.adopt) this.table.set(judged.adopt);
-      if (judged.event) events.push(judged.event);
+      const reconciliation = reconcileListed(known, model, context);
+      if (reconciliation.adopted) this.table.set(reconciliation.adopted);
+      if (reconciliation.event) events.push(reconciliation.event);
     }
     const listed = new Set(models.map(({artifact}) => artifact));
     for (const allocation of this.all()) {
       if (listed.has(allocation.artifact)) continue;
-      const event = judgeAbsent(allocation, takenAtMs);
+      const event = reconcileAbsent(allocation, takenAtMs);
       if (!event) continue;
       this.table.delete(allocation.artifact);
       events.push(event);
@@ -244,12 +247,12 @@
    * delivery has passed. Only a report taken after that moment, on the engine's
    * clock, proves that it didn't.
    */
-  private endLateBounds(timing: ReportTiming): void {
+  private resolveExpiredDoubts(timing: ReportTiming): void {
     if (this.options.checksFencing) return;
     const {orderLateBoundMs} = this.options;
-    for (const doubt of this.doubts()) {
-      const endMs = (doubt.loadSentMs ?? 0) + orderLateBoundMs;
-      if (timing.askedAtMs >= endMs) doubt.provenAfterMs = timing.engineNowMs;
+    for (const load of this.loadsInDoubt()) {
+      const endMs = (load.loadSentAtMs ?? 0) + orderLateBoundMs;
+      if (timing.sentAtMs >= endMs) load.conclusiveAfterMs = timing.engineNowMs;
     }
   }
 
@@ -259,11 +262,11 @@
    * moment of the engine's clock; a report taken after it, without the copy,
    * confirms the unload like an answer.
    */
-  private noteSentUnloads({askedAtMs, engineNowMs}: ReportTiming): void {
+  private noteUnloadsSentBefore({sentAtMs, engineNowMs}: ReportTiming): void {
     for (const allocation of this.all()) {
-      const {state, unloadSentMs = Number.POSITIVE_INFINITY} = allocation;
-      if (state !== 'releasing' || askedAtMs <= unloadSentMs) continue;
-      allocation.unloadSentByMs ??= engineNowMs;
+      const {state, unloadSentAtMs = Number.POSITIVE_INFINITY} = allocation;
+      if (state !== 'releasing' || sentAtMs <= unloadSentAtMs) continue;
+      allocation.unloadSentBeforeEngineMs ??= engineNowMs;
     }
   }
 
@@ -272,14 +275,14 @@
    * and order ids, so a late copy of an old order would load again. The start's
    * quarantine is repeated, and old times prove nothing any more.
    */
-  private noticeEngineRestart(timing: ReportTiming): LedgerEvent[] {
+  private detectEngineRestart(timing: ReportTiming): LedgerEvent[] {
     const previousMs = this.lastEngineNowMs;
     this.lastEngineNowMs = timing.engineNowMs;
     if (timing.engineNowMs >= previousMs - ENGINE_RESTART_STEP_MS) return [];
     this.quarantine.restart(this.nowMs());
-    if (this.latest) this.latest = {...this.latest, takenAtMs: -1};
+    if (this.lastReport) this.lastReport = {...this.lastReport, takenAtMs: -1};
     for (const allocation of this.all()) {
-      forgetEngineTimes(allocation, timing.engineNowMs, this.nowMs());
+      resetEngineTimes(allocation, timing.engineNowMs, this.nowMs());
     }
     return [{kind: 'engine-restarted', artifact: '', copyId: ''}];
   }
--- a/packages/banyanfold-agent/src/memory/quarantine.ts
+++ b/packages/banyanfold-agent/src/memory/quarantine.ts
@@ -18,20 +18,20 @@
  * bound on late delivery. A report taken after that moment shows all there is.
  */
 export class Quarantine {
-  private startMs: number;
-  private certain = false;
-  private fresh = false;
+  private startedAtMs: number;
+  private isInventoryComplete = false;
+  private kvUseKnown = false;
   /** Engine clock: at the first answer; nobody else sent requests after it. */
-  private firstAnswerMs: number | undefined;
+  private firstResponseEngineMs: number | undefined;
   /** Engine clock: a report taken later shows all that there is. */
-  private certainAfterMs: number | undefined;
+  private completeAfterEngineMs: number | undefined;
 
   constructor(private readonly options: QuarantineOptions) {
-    this.startMs = options.startMs;
+    this.startedAtMs = options.startMs;
   }
 
   get isOver(): boolean {
-    return this.certain;
+    return this.isInventoryComplete;
   }
 
   /**
@@ -39,13 +39,15 @@
    * the requests of an earlier process take: reports lag, and its last ones,
    * which may have gone beyond the floor, are not in them yet.
    */
-  get isFresh(): boolean {
-    return this.fresh;
+  get isKvUseKnown(): boolean {
+    return this.kvUseKnown;
   }
 
   /** Whether an order under the new fencing number is still to be taken. */
   get needsBarrier(): boolean {
-    return this.options.checksFencing && this.certainAfterMs === undefined;
+    return (
+      this.options.checksFencing && this.completeAfterEngineMs === undefined
+    );
   }
 
   /**
@@ -53,33 +55,39 @@
    *
    * @param visibleAfterMs engine clock: later reports show all earlier orders.
    */
-  barrierPassed(visibleAfterMs: number): void {
-    this.certainAfterMs ??= visibleAfterMs;
+  noteBarrierAccepted(visibleAfterMs: number): void {
+    this.completeAfterEngineMs ??= visibleAfterMs;
   }
 
   /** Begins again: the engine is a new one. */
   restart(nowMs: number): void {
-    this.startMs = nowMs;
-    this.certain = false;
-    this.certainAfterMs = undefined;
-    this.fresh = false;
-    this.firstAnswerMs = undefined;
+    this.startedAtMs = nowMs;
+    this.isInventoryComplete = false;
+    this.completeAfterEngineMs = undefined;
+    this.kvUseKnown = false;
+    this.firstResponseEngineMs = undefined;
   }
 
-  noteTiming({askedAtMs, engineNowMs}: ReportTiming): void {
-    this.firstAnswerMs ??= engineNowMs;
+  observeTiming({sentAtMs, engineNowMs}: ReportTiming): void {
+    this.firstResponseEngineMs ??= engineNowMs;
     const {checksFencing, orderLateBoundMs} = this.options;
-    if (checksFencing || askedAtMs < this.startMs + orderLateBoundMs) return;
-    this.certainAfterMs ??= engineNowMs;
+    if (checksFencing || sentAtMs < this.startedAtMs + orderLateBoundMs) return;
+    this.completeAfterEngineMs ??= engineNowMs;
   }
 
-  noteReport(takenAtMs: number): void {
-    const {firstAnswerMs, certainAfterMs} = this;
-    if (firstAnswerMs !== undefined && takenAtMs > firstAnswerMs) {
-      this.fresh = true;
+  observeReport(takenAtMs: number): void {
+    const {firstResponseEngineMs, completeAfterEngineMs} = this;
+    if (
+      firstResponseEngineMs !== undefined &&
+      takenAtMs > firstResponseEngineMs
+    ) {
+      this.kvUseKnown = true;
     }
-    if (certainAfterMs !== undefined && takenAtMs > certainAfterMs) {
-      this.certain = true;
+    if (
+      completeAfterEngineMs !== undefined &&
+      takenAtMs > completeAfterEngineMs
+    ) {
+      this.isInventoryComplete = true;
     }
   }
 }
--- a/packages/banyanfold-agent/src/memory/judgeReport.ts
+++ b/packages/banyanfold-agent/src/memory/reconcileReport.ts
@@ -8,41 +8,41 @@
   state: EngineState;
 }
 
-interface Judgement {
+interface Reconciliation {
   /** A copy that the ledger did not know. */
-  adopt?: Allocation;
+  adopted?: Allocation;
   event?: LedgerEvent;
 }
 
-interface JudgeContext {
+interface ReconcileContext {
   /** Engine clock: when the report was taken. */
   takenAtMs: number;
   nowMs: number;
-  nameCopy(artifact: string): string;
+  createCopyId(artifact: string): string;
 }
 
-const STATE_OF_FOUND: Record<EngineState, AllocationState> = {
+const ADOPTED_STATES: Record<EngineState, AllocationState> = {
   loading: 'reserved',
   loaded: 'held',
   unloading: 'releasing',
 };
 
 /** What a newer report that lists an artifact says about its copy. */
-export function judgeListed(
+export function reconcileListed(
   known: Allocation | undefined,
   model: ListedModel,
-  context: JudgeContext,
-): Judgement {
-  if (!known) return adopt(model, context);
-  known.seen = true;
+  context: ReconcileContext,
+): Reconciliation {
+  if (!known) return adoptCopy(model, context);
+  known.isReported = true;
   known.bytes = Math.max(known.bytes, model.bytes);
-  known.provenAfterMs ??= context.takenAtMs;
+  known.conclusiveAfterMs ??= context.takenAtMs;
   return {event: LISTED_HANDLERS[model.state](known, context)};
 }
 
 const LISTED_HANDLERS: Record<
   EngineState,
-  (known: Allocation, context: JudgeContext) => LedgerEvent | undefined
+  (known: Allocation, context: ReconcileContext) => LedgerEvent | undefined
 > = {
   loading(known) {
     if (known.state === 'in-doubt') known.state = 'reserved';
@@ -50,39 +50,39 @@
   },
   loaded(known, context) {
     if (known.state === 'held') return undefined;
-    if (known.state === 'releasing') return loadedAgain(known, context);
+    if (known.state === 'releasing') return handleStillLoaded(known, context);
     known.state = 'held';
-    return eventOf('held', known);
+    return createEvent('held', known);
   },
   unloading(known, context) {
     if (known.state === 'releasing') return undefined;
     // Nobody else should order here; a predecessor's late order can.
     known.state = 'releasing';
-    known.unloadReceivedMs = context.takenAtMs;
-    return eventOf('foreign-unload', known);
+    known.unloadVisibleAfterMs = context.takenAtMs;
+    return createEvent('foreign-unload', known);
   },
 };
 
 /** A copy that should go is listed as usable. */
-function loadedAgain(
+function handleStillLoaded(
   known: Allocation,
-  {takenAtMs}: JudgeContext,
+  {takenAtMs}: ReconcileContext,
 ): LedgerEvent | undefined {
-  if (known.unloadReceivedMs === undefined) return undefined;
-  if (takenAtMs <= known.unloadReceivedMs) return undefined;
+  if (known.unloadVisibleAfterMs === undefined) return undefined;
+  if (takenAtMs <= known.unloadVisibleAfterMs) return undefined;
   if (known.unloadOrderId === undefined) {
     known.state = 'held';
-    return eventOf('held', known);
+    return createEvent('held', known);
   }
-  known.unloadReceivedMs = undefined;
-  return eventOf('unload-ignored', known);
+  known.unloadVisibleAfterMs = undefined;
+  return createEvent('unload-ignored', known);
 }
 
 /**
  * What a newer report that lacks an artifact says about its copy: undefined
  * when it proves nothing, because it was taken before the order was received.
  */
-export function judgeAbsent(
+export function reconcileAbsent(
   allocation: Allocation,
   takenAtMs: number,
 ): LedgerEvent | undefined {
@@ -94,50 +94,53 @@
   (allocation: Allocation, takenAtMs: number) => LedgerEvent | undefined
 > = {
   reserved: (allocation, takenAtMs) =>
-    isAfter(takenAtMs, allocation.provenAfterMs)
-      ? eventOf('load-failed', allocation)
+    isAfter(takenAtMs, allocation.conclusiveAfterMs)
+      ? createEvent('load-failed', allocation)
       : undefined,
   'in-doubt': (allocation, takenAtMs) =>
-    isAfter(takenAtMs, allocation.provenAfterMs)
-      ? eventOf('doubt-ended', allocation)
+    isAfter(takenAtMs, allocation.conclusiveAfterMs)
+      ? createEvent('doubt-ended', allocation)
       : undefined,
   held: (allocation, takenAtMs) =>
-    isAfter(takenAtMs, allocation.provenAfterMs)
-      ? eventOf('vanished', allocation)
+    isAfter(takenAtMs, allocation.conclusiveAfterMs)
+      ? createEvent('vanished', allocation)
       : undefined,
   // Without an answer, a report from after the sending is evidence as well: it
   // lacks a copy that earlier ones listed.
   releasing: (allocation, takenAtMs) =>
-    isAfter(takenAtMs, allocation.unloadReceivedMs) ||
-    isAfter(takenAtMs, allocation.unloadSentByMs)
-      ? eventOf('released', allocation)
+    isAfter(takenAtMs, allocation.unloadVisibleAfterMs) ||
+    isAfter(takenAtMs, allocation.unloadSentBeforeEngineMs)
+      ? createEvent('released', allocation)
       : undefined,
 };
 
-function isAfter(takenAtMs: number, orderMs: number | undefined): boolean {
-  return orderMs !== undefined && takenAtMs > orderMs;
+function isAfter(takenAtMs: number, thresholdMs: number | undefined): boolean {
+  return thresholdMs !== undefined && takenAtMs > thresholdMs;
 }
 
-function adopt(model: ListedModel, context: JudgeContext): Judgement {
+function adoptCopy(
+  model: ListedModel,
+  context: ReconcileContext,
+): Reconciliation {
   const allocation: Allocation = {
     artifact: model.artifact,
     bytes: model.bytes,
-    state: STATE_OF_FOUND[model.state],
-    copyId: context.nameCopy(model.artifact),
-    provenAfterMs: context.takenAtMs,
-    unloadReceivedMs:
+    state: ADOPTED_STATES[model.state],
+    copyId: context.createCopyId(model.artifact),
+    conclusiveAfterMs: context.takenAtMs,
+    unloadVisibleAfterMs:
       model.state === 'unloading' ? context.takenAtMs : undefined,
-    seen: true,
-    users: 0,
-    lastUsedMs: context.nowMs,
-    retiring: false,
+    isReported: true,
+    activeRequests: 0,
+    lastUsedAtMs: context.nowMs,
+    isRetiring: false,
     isInherited: true,
-    knownSinceMs: context.nowMs,
+    firstKnownAtMs: context.nowMs,
   };
-  return {adopt: allocation, event: eventOf('adopted', allocation)};
+  return {adopted: allocation, event: createEvent('adopted', allocation)};
 }
 
-function eventOf(
+function createEvent(
   kind: LedgerEvent['kind'],
   {artifact, copyId}: Allocation,
 ): LedgerEvent {
--- a/packages/banyanfold-agent/src/parts/createAdmissionParts.ts
+++ b/packages/banyanfold-agent/src/parts/createAdmissionParts.ts
@@ -1,15 +1,19 @@
-import type {AdmissionParts, AgentBasis, MemoryParts} from '../agentContext.js';
+import type {
+  AdmissionParts,
+  AgentDependencies,
+  EngineParts,
+} from '../agentContext.js';
 import {AdmissionQueue} from '../attempts/admissionQueue.js';
 import {AttemptRegistry} from '../attempts/attemptRegistry.js';
 
 /** Builds the queue and the registry of attempts. */
 export function createAdmissionParts(
-  basis: AgentBasis,
-  {ledger}: MemoryParts,
+  dependencies: AgentDependencies,
+  {ledger}: EngineParts,
 ): AdmissionParts {
-  const {settings, clock} = basis;
+  const {settings, clock} = dependencies;
   const queue = new AdmissionQueue({
-    ...basis,
+    ...dependencies,
     memory: ledger.budget,
     maxRunning: settings.maxRunning,
     maxQueued: settings.maxQueued,
--- a/packages/banyanfold-agent/src/parts/createAgentContext.ts
+++ b/packages/banyanfold-agent/src/parts/createAgentContext.ts
@@ -1,25 +1,36 @@
-import type {AgentBasis, AgentContext, Leaving} from '../agentContext.js';
+import type {
+  AgentDependencies,
+  AgentContext,
+  LeavingFlag,
+} from '../agentContext.js';
 import {createAdmissionParts} from './createAdmissionParts.js';
 import {createControlParts} from './createControlParts.js';
-import {createDataParts} from './createDataParts.js';
-import {createMemoryParts} from './createMemoryParts.js';
+import {createDataPathParts} from './createDataPathParts.js';
+import {createEngineParts} from './createEngineParts.js';
 
 /** Builds the parts of an agent and connects them; nothing runs yet. */
-export function createAgentContext(basis: AgentBasis): AgentContext {
-  const leaving = createLeaving();
-  const memory = createMemoryParts(basis, leaving);
-  const admission = createAdmissionParts(basis, memory);
-  const lower = {...basis, ...leaving, ...memory, ...admission};
-  const control = createControlParts(lower);
-  const data = createDataParts({...lower, ...control});
-  return {...lower, ...control, ...data};
+export function createAgentContext(
+  dependencies: AgentDependencies,
+): AgentContext {
+  const leavingFlag = createLeavingFlag();
+  const engineParts = createEngineParts(dependencies, leavingFlag);
+  const admissionParts = createAdmissionParts(dependencies, engineParts);
+  const lowerParts = {
+    ...dependencies,
+    ...leavingFlag,
+    ...engineParts,
+    ...admissionParts,
+  };
+  const controlParts = createControlParts(lowerParts);
+  const dataPathParts = createDataPathParts({...lowerParts, ...controlParts});
+  return {...lowerParts, ...controlParts, ...dataPathParts};
 }
 
-function createLeaving(): Leaving {
+function createLeavingFlag(): LeavingFlag {
   let leaving = false;
   return {
     isLeaving: () => leaving,
-    setLeaving: () => {
+    markLeaving: () => {
       leaving = true;
     },
   };
--- a/packages/banyanfold-agent/src/parts/createControlParts.ts
+++ b/packages/banyanfold-agent/src/parts/createControlParts.ts
@@ -1,35 +1,35 @@
 import {ConfigFollower, Retirements} from '@banyanfold/log';
 import type {
   AdmissionParts,
-  AgentBasis,
+  AgentDependencies,
   ControlParts,
-  Leaving,
-  MemoryParts,
+  LeavingFlag,
+  EngineParts,
 } from '../agentContext.js';
 import {isUnpublished} from '../control/configView.js';
-import {EngineWatch} from '../control/engineWatch.js';
+import {EngineMonitor} from '../control/engineMonitor.js';
 import {LoadReporter} from '../control/loadReporter.js';
 import {PrefixTracker} from '../control/prefixTracker.js';
 import {ProposalHandler} from '../control/proposalHandler.js';
-import {RunnerRole} from '../control/runnerRole.js';
+import {RunnerRoleState} from '../control/runnerRoleState.js';
 
 /** Builds what follows the engine and the log, and what planners speak to. */
 export function createControlParts(
-  basis: AgentBasis & Leaving & MemoryParts & AdmissionParts,
+  dependencies: AgentDependencies & LeavingFlag & EngineParts & AdmissionParts,
 ): ControlParts {
-  const {settings, fence, queue, isLeaving} = basis;
+  const {settings, fence, queue, isLeaving} = dependencies;
   const prefixes = new PrefixTracker(settings.maxCachedPrefixes);
-  const role = new RunnerRole(settings.runnerRole);
-  const {config, retirements} = createFollowers(basis);
+  const role = new RunnerRoleState(settings.runnerRole);
+  const {config, retirements} = createFollowers(dependencies);
   const reporter = new LoadReporter({
-    ...basis,
+    ...dependencies,
     prefixes,
     incarnation: () => fence.incarnation,
     configVersion: () => config.version,
     runnerRole: () => role.current,
   });
-  const watch = new EngineWatch({
-    ...basis,
+  const engineMonitor = new EngineMonitor({
+    ...dependencies,
     intervalMs: settings.reportIntervalMs,
     runnerRole: () => role.current,
     onReport: report => {
@@ -38,34 +38,42 @@
     },
   });
   const proposals = new ProposalHandler({
-    ...basis,
+    ...dependencies,
     retirements,
     inheritedRetireHoldMs: settings.memory.inheritedRetireHoldMs,
     isUnpublished: async artifact => {
-      const read = await config.readNow();
-      return read.isOk() && isUnpublished(config.state, artifact);
+      const result = await config.readNow();
+      return result.isOk() && isUnpublished(config.state, artifact);
     },
     hasFence: () => fence.current() !== undefined,
     isLeaving,
     setRunnerRole: (name, setAtMs) => role.set(name, setAtMs),
   });
-  return {prefixes, role, config, retirements, reporter, watch, proposals};
+  return {
+    prefixes,
+    role,
+    config,
+    retirements,
+    reporter,
+    engineMonitor,
+    proposals,
+  };
 }
 
 function createFollowers(
-  basis: AgentBasis,
+  dependencies: AgentDependencies,
 ): Pick<ControlParts, 'config' | 'retirements'> {
-  const {settings} = basis;
+  const {settings} = dependencies;
   const {vmId} = settings;
   const config = new ConfigFollower({
-    ...basis,
+    ...dependencies,
     vmId,
     // Checkpoints are the entries' work; an agent never finds one due.
     liveVmIds: () => [],
     retentionMs: Number.MAX_SAFE_INTEGER,
   });
   const retirements = new Retirements({
-    ...basis,
+    ...dependencies,
     vmId,
     retentionMs: settings.platform.logRetentionMs,
   });
--- a/packages/banyanfold-agent/src/parts/createDataParts.ts
+++ b/packages/banyanfold-agent/src/parts/createDataPathParts.ts
@@ -1,39 +1,43 @@
 import type {
   AdmissionParts,
-  AgentBasis,
+  AgentDependencies,
   ControlParts,
-  DataParts,
-  Leaving,
-  MemoryParts,
+  DataPathParts,
+  LeavingFlag,
+  EngineParts,
 } from '../agentContext.js';
 import type {AttemptContext} from '../attempts/attemptContext.js';
 import {AttemptSealer} from '../attempts/attemptSealer.js';
 import {AttemptServer} from '../attempts/attemptServer.js';
 import {EngineCanceller} from '../attempts/engineCanceller.js';
 import {createServiceDispatcher} from '../attempts/serviceAttempt.js';
-import {kvBytesPerTokenOf} from '../control/configView.js';
+import {findKvBytesPerToken} from '../control/configView.js';
 
 /** Builds the way of a request, from the listener to the engine. */
-export function createDataParts(
-  basis: AgentBasis & Leaving & MemoryParts & AdmissionParts & ControlParts,
-): DataParts {
-  const {settings, fence, engine, reporter, prefixes, config} = basis;
+export function createDataPathParts(
+  dependencies: AgentDependencies &
+    LeavingFlag &
+    EngineParts &
+    AdmissionParts &
+    ControlParts,
+): DataPathParts {
+  const {settings, fence, engine, reporter, prefixes, config} = dependencies;
   const canceller = new EngineCanceller({
-    ...basis,
+    ...dependencies,
     orderLateBoundMs: settings.engine.orderLateBoundMs,
   });
   const isOwnIncarnation = (incarnation: number) => fence.isOwn(incarnation);
   const attemptContext: AttemptContext = {
-    ...basis,
+    ...dependencies,
     canceller,
     isOwnIncarnation,
     loadHeader: () => JSON.stringify(reporter.digest()),
-    kvBytesPerToken: artifact => kvBytesPerTokenOf(config.state, artifact),
-    notePrefix: prefixHash => prefixes.confirm(prefixHash),
-    noteServed: artifact => reporter.noteServed(artifact),
+    kvBytesPerToken: artifact => findKvBytesPerToken(config.state, artifact),
+    notePrefix: prefixHash => prefixes.noteCached(prefixHash),
+    noteServed: artifact => reporter.countServed(artifact),
   };
   const seals = new AttemptSealer({
-    ...basis,
+    ...dependencies,
     graceMs: settings.retention.sealGraceMs,
     isOwnIncarnation,
   });
