--- a/packages/banyanfold-agent/src/control/configView.ts
+++ b/packages/banyanfold-agent/src/control/configView.ts
@@ -1,7 +1,10 @@
 import {compileConfig, type ConfigState} from '@banyanfold/config';
 import {baseModelOf} from '../memory/allocationTable.js';
 
-/** What the configuration in force says of a model's KV cache. */
+/**
+ * Returns the configured KV cache bytes per token of an artifact's base model,
+ * or undefined if the configuration is unknown or sets none.
+ */
 export function findKvBytesPerToken(
   state: ConfigState | undefined,
   artifact: string,
@@ -13,12 +16,15 @@
   return model?.kvBytesPerToken;
 }
 
-/** Whether a known configuration has no selector that reaches the artifact. */
+/**
+ * Whether the configuration is known and none of its selectors matches the
+ * artifact.
+ */
 export function isUnpublished(
   state: ConfigState | undefined,
   artifact: string,
 ): boolean {
   if (!state) return false;
   const selectable = compileConfig(state.body).artifacts();
-  return !selectable.some(known => known.artifact === artifact);
+  return !selectable.some(entry => entry.artifact === artifact);
 }
--- a/packages/banyanfold-agent/src/control/engineMonitor.ts
+++ b/packages/banyanfold-agent/src/control/engineMonitor.ts
@@ -7,10 +7,10 @@
 import type {LedgerEvent} from '../memory/allocation.js';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
 
-/** While the log is out, new numbers are asked for no more often. */
+/** The longest backoff between barriers, for example during a log outage. */
 const BARRIER_RETRY_CAP_MS = 5_000;
 
-/** What an engine watch works with. */
+/** Options of {@link EngineMonitor}. */
 export interface EngineMonitorOptions {
   clock: Clock;
   logger: Logger;
@@ -21,13 +21,16 @@
   orders: OrderSender;
   fence: FenceKeeper;
   intervalMs: number;
-  /** The role to repeat in a barrier, which must change nothing. */
+  /** The current role. A barrier sets it again and so has no other effect. */
   runnerRole(): string;
   nextOrderId(artifact: string): string;
   onReport(report: EngineReport): void;
 }
 
-/** Reads the engine's reports, one at a time, and feeds the ledger. */
+/**
+ * Polls the engine's reports, one request at a time, and updates the ledger.
+ * Sends a barrier order when the ledger needs one.
+ */
 export class EngineMonitor {
   private timer: Timer | undefined;
   private stopped = false;
@@ -42,7 +45,7 @@
     this.backoff = new Backoff({capMs: BARRIER_RETRY_CAP_MS, random});
   }
 
-  /** Reads once, then at each interval. */
+  /** Resolves after the first report request; polls at each interval then. */
   async start(): Promise<void> {
     await this.poll();
   }
@@ -66,7 +69,7 @@
     if (answer.isErr()) {
       const {code, step, peer} = answer.error;
       metrics.count('agent_engine_report_failures_total');
-      // Once an outage, not four times a second.
+      // Log once per outage rather than four times a second.
       if (!this.readFailed) logger.warn('report-failed', {code, step, peer});
       this.readFailed = true;
       return;
@@ -88,9 +91,10 @@
   }
 
   /**
-   * Ends what earlier fencing numbers may still bring: at the start what a
-   * predecessor sent, later the load orders of our own that are in doubt. The
-   * latter bear our number, so a higher one is taken for it.
+   * Makes the engine reject orders with earlier fencing tokens: after the start
+   * those of the previous agent process, later this agent's own load orders
+   * that are in doubt. The latter carry the current token, so the barrier needs
+   * a higher one.
    */
   private async sendBarrierIfNeeded(): Promise<void> {
     const {clock, ledger, fence} = this.options;
@@ -109,7 +113,10 @@
     this.nextBarrierAtMs = clock.nowMs() + this.backoff.nextDelayMs();
   }
 
-  /** @returns when reports show it, on the engine's clock, or undefined. */
+  /**
+   * @returns the time on the engine's clock after which reports reflect the
+   *     barrier, or undefined if the engine did not confirm it.
+   */
   private async sendBarrier(
     hasLoadsInDoubt: boolean,
   ): Promise<number | undefined> {
--- a/packages/banyanfold-agent/src/control/loadReporter.ts
+++ b/packages/banyanfold-agent/src/control/loadReporter.ts
@@ -13,7 +13,7 @@
 import type {AgentSettings} from '../settings.js';
 import type {PrefixTracker} from './prefixTracker.js';
 
-/** Where a reporter reads. */
+/** Options of {@link LoadReporter}. */
 export interface LoadReporterOptions {
   settings: AgentSettings;
   clock: Clock;
@@ -26,7 +26,7 @@
   runnerRole(): string;
 }
 
-/** Makes the digests and reports that entries decide by. */
+/** Creates the load digests and reports that entries base decisions on. */
 export class LoadReporter {
   private sequence = 0;
   private readonly history = new ReportHistory();
@@ -49,18 +49,22 @@
       kvUsedBytes: ledger.budget.kvUsedBytes(),
       kvCapacityBytes: ledger.budget.kvCapacityBytes(),
       queueDelayMs: queue.queueDelayMs(),
-      // Until the use by a predecessor's requests is known, none is admitted: an
-      // entry that sent some here would have them refused for want of memory.
+      // No request is admitted until the KV cache use by the previous process's
+      // requests is known. Requests sent here before would be refused for lack
+      // of memory.
       leaving: isLeaving() || !ledger.isKvUseKnown(),
     };
   }
 
-  /** Whole, or what changed since the report that the caller holds. */
+  /** Returns the changes since the caller's report, or the complete report. */
   reportSince(cursor: ReportCursor | undefined): AgentReport | ReportChanges {
     return this.history.answer(this.createReport(), cursor);
   }
 
-  /** Observed as well: its reader may name it as the one that it holds. */
+  /**
+   * Returns the complete report and records it, since the caller may later
+   * request the changes since it.
+   */
   report(): AgentReport {
     const report = this.createReport();
     this.history.observe(report);
@@ -88,7 +92,7 @@
     };
   }
 
-  /** A copy that drains for its retirement must get no new requests. */
+  /** A retiring copy is reported as releasing, so it gets no new requests. */
   private toCopy(allocation: Allocation): Copy {
     const {artifact, bytes, state, copyId, activeRequests, lastUsedAtMs} =
       allocation;
--- a/packages/banyanfold-agent/src/control/prefixTracker.ts
+++ b/packages/banyanfold-agent/src/control/prefixTracker.ts
@@ -1,25 +1,25 @@
 import type {CacheEvents} from '../engine/engineSchemas.js';
 
 /**
- * Which prompt prefixes the engine probably has cached.
+ * Tracks which prompt prefixes the engine probably has cached.
  *
- * Its cache events come late and with gaps. A prefix believed cached that is
- * gone costs a prefill, so after a gap, in which an eviction may have been
- * lost, only what is confirmed later stays believed in.
+ * Cache events arrive late and with gaps, and an eviction may be lost in a gap.
+ * Routing by a prefix that was evicted costs a prefill, so a gap clears all
+ * prefixes until they are seen again.
  */
 export class PrefixTracker {
-  /** In the order of their last confirmation. */
+  /** Ordered by last use, oldest first. */
   private readonly prefixes = new Set<string>();
   private nextSeq = 1;
 
   constructor(private readonly maxPrefixes: number) {}
 
-  /** The number to ask cache events from. */
+  /** The sequence number of the next cache event to fetch. */
   get fromSeq(): number {
     return this.nextSeq;
   }
 
-  /** A request with this prefix went through the engine. */
+  /** Records that the engine processed a request with this prefix. */
   noteCached(prefixHash: string): void {
     if (!prefixHash) return;
     this.prefixes.delete(prefixHash);
@@ -27,7 +27,11 @@
     this.evictOldest();
   }
 
-  /** Applies cache events; says whether some were missing. */
+  /**
+   * Applies cache events; events that were already applied are ignored.
+   *
+   * @returns whether events were missing.
+   */
   apply({events, nextSeq}: CacheEvents): boolean {
     let hadGap = false;
     for (const event of events) {
--- a/packages/banyanfold-agent/src/control/proposalHandler.ts
+++ b/packages/banyanfold-agent/src/control/proposalHandler.ts
@@ -11,7 +11,7 @@
 const LOST_VERDICT_WATCH_MS = 300_000;
 const LOST_VERDICT_POLL_MS = 500;
 
-/** What a proposal handler works with. */
+/** Options of {@link ProposalHandler}. */
 export interface ProposalHandlerOptions {
   clock: Clock;
   logger: Logger;
@@ -20,26 +20,32 @@
   orders: OrderSender;
   retirements: Pick<Retirements, 'retireCopy' | 'isRetired'>;
   inheritedRetireHoldMs: number;
-  /** Whether the configuration, read to its end now, has it no more. */
+  /** Whether the configuration, read up to date, no longer has the artifact. */
   isUnpublished(artifact: string): Promise<boolean>;
   hasFence(): boolean;
   isLeaving(): boolean;
   nextOrderId(artifact: string): string;
-  /** The engine took the role, at this time of its clock. */
+  /**
+   * Records the role that the engine confirmed.
+   *
+   * @param setAtMs Engine clock: reports taken later reflect the role.
+   */
   setRunnerRole(role: string, setAtMs: number): void;
 }
 
 /**
- * Judges what a planner proposes. Proposals are only that: the ledger, the
- * fence and the log decide here, so two planners at once, or one that was
- * paused, cost moves and never memory or the last copy.
+ * Accepts or refuses the proposals of planners.
+ *
+ * The ledger, the fencing token and the log decide here. Two concurrent
+ * planners, or one that was paused, can therefore cause needless moves, but
+ * they can't overcommit memory or remove the last copy.
  */
 export class ProposalHandler {
   private highestPlannerEpoch = 0;
   private stopped = false;
-  /** Artifacts whose retirement the log judges now. */
+  /** Artifacts whose retirement the log has yet to decide. */
   private readonly undecided = new Set<string>();
-  /** Results by proposal id, so that a repeated proposal has one effect. */
+  /** Results by proposal id, which make repeated proposals idempotent. */
   private readonly results = new Map<string, Promise<ProposalResult>>();
   private readonly handlers: Record<
     Proposal['kind'],
@@ -56,7 +62,11 @@
     this.stopped = true;
   }
 
-  /** @example await handler.propose(proposal) // {accepted: true, …} */
+  /**
+   * Handles a proposal; a repeated proposal gets the result of the first.
+   *
+   * @example await handler.propose(proposal) // {accepted: true, …}
+   */
   propose(proposal: Proposal): Promise<ProposalResult> {
     const earlier = this.results.get(proposal.proposalId);
     if (earlier) return earlier;
@@ -117,7 +127,8 @@
     if (this.hasAdapters(proposal.artifact)) return refused('adapters-held');
     if (this.isInRetireHold(allocation)) return refused('inherited-too-new');
     if (this.undecided.has(proposal.artifact)) return refused('in-judgement');
-    // An adapter loaded while the log judges would outlive its model.
+    // Refuse loads of adapters until the log has decided; such an adapter would
+    // stay loaded without its model.
     this.undecided.add(proposal.artifact);
     const result = await this.requestRetirement(proposal, allocation);
     this.undecided.delete(proposal.artifact);
@@ -130,8 +141,8 @@
   ): Promise<ProposalResult> {
     const {retirements} = this.options;
     const {artifact, reliesOnCopyIds, viewedAtMs} = proposal;
-    // A planner that was paused between its view and this proposal may rely on
-    // copies that were retired and forgotten since; the log judges the age.
+    // A planner that was paused after it read the state may rely on copies that
+    // were since retired and removed from the log, so the log checks the age.
     if (viewedAtMs === undefined) return refused('no-view-time');
     const verdict = await retirements.retireCopy({
       copyId: allocation.copyId,
@@ -156,10 +167,11 @@
   }
 
   /**
-   * The record may be in the log although its answer was lost. Then the copy
-   * counts as retired for others, and each new proposal for it is void: its
-   * memory would stay taken. So the log is watched for a while, much shorter
-   * than it remembers a retirement.
+   * Polls the log for a retirement whose answer was lost.
+   *
+   * If the log holds the record, other agents treat the copy as retired and
+   * every further proposal for it is void, so its memory would never be freed.
+   * The wait is much shorter than the time that the log keeps retirements.
    */
   private async watchForLostVerdict(allocation: Allocation): Promise<void> {
     const {clock, retirements} = this.options;
@@ -190,9 +202,12 @@
   }
 
   /**
-   * Others may still rely on an inherited copy under the id its earlier
-   * process gave it, and a record here under the new id would not void theirs:
-   * both copies would go. Their proposals are over after the hold.
+   * Whether an inherited copy is too new to retire.
+   *
+   * Other agents' retirements may still rely on the copy under the id that the
+   * previous process gave it. A retirement under the new id would not void
+   * theirs, and both copies would be unloaded. After the hold no such proposal
+   * is still pending.
    */
   private isInRetireHold({isInherited, firstKnownAtMs}: Allocation): boolean {
     const {clock, inheritedRetireHoldMs} = this.options;
@@ -202,16 +217,19 @@
   }
 
   /**
-   * The sole copy of a version that operators took back would keep its memory
-   * for ever, and the third version would find no room. The log is asked, and
-   * not what was read before: an operator may have published it again.
+   * Whether the last copy of an artifact may be retired.
+   *
+   * If the only copy of an unpublished version could not be retired, it would
+   * occupy its memory forever and leave no space for a third version. The
+   * configuration is read from the log again, because an operator may have
+   * republished the version.
    */
   private async isUnpublished(proposal: Proposal): Promise<boolean> {
     if (proposal.reliesOnCopyIds.length > 0) return false;
     return this.options.isUnpublished(proposal.artifact);
   }
 
-  /** Requests that run on the copy, or were admitted to it, end first. */
+  /** Unloads a copy once all requests admitted to it have ended. */
   private async unloadWhenUnused(allocation: Allocation): Promise<void> {
     const {clock, ledger, orders, nextOrderId} = this.options;
     while (allocation.activeRequests > 0) {
@@ -219,7 +237,7 @@
       await sleep(clock, DRAIN_POLL_MS);
     }
     const {artifact} = allocation;
-    // It may have vanished and been loaded anew, which nobody retired.
+    // The copy may have been lost and loaded again; the new one isn't retired.
     if (ledger.get(artifact) !== allocation) return;
     await orders.unload(artifact, () => nextOrderId(artifact));
   }
--- a/packages/banyanfold-agent/src/control/runnerRoleState.ts
+++ b/packages/banyanfold-agent/src/control/runnerRoleState.ts
@@ -1,6 +1,6 @@
 import type {EngineReport} from '../engine/engineSchemas.js';
 
-/** The engine's role: as ordered, until a later report says otherwise. */
+/** The engine's role: the last one set, until a newer report overrides it. */
 export class RunnerRoleState {
   private setAtEngineMs = Number.NEGATIVE_INFINITY;
 
@@ -15,7 +15,7 @@
     this.setAtEngineMs = setAtEngineMs;
   }
 
-  /** A report from before the last order would bring the old role back. */
+  /** Ignores reports from before the last order, which have the old role. */
   observe({role, takenAtMs}: EngineReport): void {
     if (role && takenAtMs > this.setAtEngineMs) this.role = role;
   }
--- a/packages/banyanfold-agent/src/memory/allocation.ts
+++ b/packages/banyanfold-agent/src/memory/allocation.ts
@@ -2,45 +2,55 @@
 
 export type AllocationState = Copy['state'];
 
-/** The memory of one copy of an artifact, from its order to its release. */
+/**
+ * The accelerator memory of one copy of an artifact, from the reservation for
+ * its load order until a report shows that it was released.
+ */
 export interface Allocation {
   artifact: string;
   bytes: number;
   state: AllocationState;
-  /** The id of the load order; made up for a copy found at the start. */
+  /** The id of the load order; newly created for a copy found in a report. */
   copyId: string;
-  /** Own clock: when its load order was last sent; undefined if found. */
+  /**
+   * Agent clock: when the load order was last sent. Undefined for a copy found
+   * in a report.
+   */
   loadSentAtMs?: number;
   /**
-   * Engine clock: from then on a report that lacks the copy proves that it
-   * isn't there, and that no order still under way can bring it.
+   * Engine clock: a report taken after this time that doesn't list the copy
+   * proves that it isn't loaded and that no order in flight can still load it.
    */
   conclusiveAfterMs?: number;
-  /** Whether some report has listed it. */
+  /** Whether any report has listed the copy. */
   isReported: boolean;
-  /** Engine clock: a later report shows that the engine took the unload. */
+  /** Engine clock: reports taken later reflect the accepted unload order. */
   unloadVisibleAfterMs?: number;
   unloadOrderId?: string;
-  /** Own clock: when the unload order was first sent. */
+  /** Agent clock: when the unload order was first sent. */
   unloadSentAtMs?: number;
-  /** Engine clock: the unload order had been sent by then. */
+  /** Engine clock: the unload order was sent before this time. */
   unloadSentBeforeEngineMs?: number;
-  /** Requests that use it now. */
+  /** The number of admitted requests that use the copy. */
   activeRequests: number;
+  /** Agent clock. */
   lastUsedAtMs: number;
-  /** Set while it drains for its retirement: no new request gets it. */
+  /** Whether the copy drains before its unload and gets no new requests. */
   isRetiring: boolean;
-  /** Found in a report: an earlier process ordered it, under another id. */
+  /**
+   * Whether the copy was found in a report: an earlier agent process loaded it
+   * under a different id.
+   */
   isInherited: boolean;
-  /** Own clock. */
+  /** Agent clock: when the ledger first recorded the copy. */
   firstKnownAtMs: number;
 }
 
-/** Why a load can't be reserved. */
+/** The reason why memory for a load can't be reserved. */
 export type ReserveRefusal =
   'no-report' | 'quarantine' | 'no-memory' | 'releasing';
 
-/** What changed in the ledger, for the log. */
+/** A change of one allocation in the ledger, for logs and metrics. */
 export interface LedgerEvent {
   kind:
     | 'adopted'
@@ -56,8 +66,9 @@
   copyId: string;
 }
 
-/** The engine's view of its memory, with the times that make it evidence. */
+/** The fields of an engine report that the ledger uses. */
 export interface LedgerReport {
+  /** Engine clock. */
   takenAtMs: number;
   kvUsedBytes: number;
   kvCapacityBytes: number;
@@ -69,15 +80,18 @@
   }>;
 }
 
-/** When a report was asked for and answered. */
+/** When the request for a report was sent and answered. */
 export interface ReportTiming {
-  /** Own clock, before the request left. */
+  /** Agent clock: before the request was sent. */
   sentAtMs: number;
-  /** Engine clock, when it answered. */
+  /** Engine clock: when the engine answered. */
   engineNowMs: number;
 }
 
-/** Makes the times of an engine that is gone prove nothing any more. */
+/**
+ * Invalidates an allocation's times of the previous engine process after an
+ * engine restart. A load in doubt starts its late bound again.
+ */
 export function resetEngineTimes(
   allocation: Allocation,
   engineNowMs: number,
--- a/packages/banyanfold-agent/src/memory/allocationTable.ts
+++ b/packages/banyanfold-agent/src/memory/allocationTable.ts
@@ -1,7 +1,7 @@
 import type {Allocation} from './allocation.js';
 
 /**
- * The model of an artifact; a model is its own.
+ * Returns the id of an adapter's base model, or the id itself for a model.
  *
  * @example modelOf('claims@3+suva@1') // 'claims@3'
  */
@@ -9,7 +9,7 @@
   return artifact.split('+')[0] ?? artifact;
 }
 
-/** The allocations of one engine, by artifact. */
+/** The allocations of one engine, indexed by artifact. */
 export class AllocationTable {
   private readonly allocations = new Map<string, Allocation>();
 
@@ -37,7 +37,10 @@
     return this.all().find(({unloadOrderId}) => unloadOrderId === orderId);
   }
 
-  /** Copies whose load order may or may not still arrive. */
+  /**
+   * Returns the allocations whose load order may still reach the engine, and
+   * for which no report can yet prove that it won't.
+   */
   loadsInDoubt(): Allocation[] {
     return this.all().filter(
       ({state, conclusiveAfterMs}) =>
@@ -51,6 +54,7 @@
     return total;
   }
 
+  /** Whether the artifact, and an adapter's base model, accept requests. */
   canServe(artifact: string): boolean {
     return requiredArtifacts(artifact).every(needed => {
       const allocation = this.allocations.get(needed);
@@ -58,6 +62,7 @@
     });
   }
 
+  /** Adds to the active requests of an artifact and of its base model. */
   updateUse(artifact: string, change: 1 | -1, nowMs: number): void {
     for (const needed of requiredArtifacts(artifact)) {
       const allocation = this.allocations.get(needed);
@@ -71,7 +76,7 @@
   }
 }
 
-/** An adapter needs its model too. */
+/** Returns the artifact and, for an adapter, its base model. */
 function requiredArtifacts(artifact: string): string[] {
   const model = baseModelOf(artifact);
   return model === artifact ? [artifact] : [artifact, model];
--- a/packages/banyanfold-agent/src/memory/kvAccount.ts
+++ b/packages/banyanfold-agent/src/memory/kvAccount.ts
@@ -1,24 +1,26 @@
 import type {LedgerReport} from './allocation.js';
 
-/** How the account of KV cache is built. */
+/** Options of {@link KvAccount}. */
 export interface KvAccountOptions {
+  /** Agent clock. */
   startMs: number;
+  /** This long after the start, all requests from before it have ended. */
   inheritedBoundMs: number;
 }
 
 /**
- * Counts the KV cache that requests may still grow into.
+ * Tracks the KV cache that admitted requests use or may grow into.
  *
- * Engines report what is in use now; a request grows until its last token. If
- * only the present use were counted, a load could take the memory that running
- * requests are about to need. So each request counts with its prompt and all
- * the tokens it may make, from its admission until the engine is known to have
- * ended it.
+ * Engines report the current use, but a request grows until its last token. If
+ * only the current use were counted, a load could take memory that running
+ * requests are about to need. Each request therefore reserves memory for its
+ * prompt and its maximum output, from its admission until the engine is known
+ * to have ended it.
  */
 export class KvAccount {
   private readonly bytesByRequest = new Map<string, number>();
   private totalReservedBytes = 0;
-  /** In use by requests that came before this process. */
+  /** Upper bound of the use by requests from before this process started. */
   private inheritedBytes = 0;
   private wasComplete = false;
 
@@ -36,10 +38,10 @@
   }
 
   /**
-   * Takes the engine's use as the bound of what was there before us. It counts
-   * our own first requests twice for a while, which is the safe side. Until
-   * the inventory is certain, a lagging report may lack the predecessor's last
-   * requests, so a lower figure from then on is the bound, and not before.
+   * Uses the reported KV cache as the upper bound of inherited use. For a while
+   * this counts this process's first requests twice, which errs on the safe
+   * side. The bound only starts to decrease once the inventory is complete,
+   * because a stale report may lack the last requests of the previous process.
    */
   observe({kvUsedBytes}: LedgerReport, {isComplete}: {isComplete: boolean}) {
     if (!isComplete || !this.wasComplete) this.inheritedBytes = kvUsedBytes;
@@ -51,6 +53,7 @@
     return this.totalReservedBytes;
   }
 
+  /** Reserved bytes plus those that inherited requests may still use. */
   committedBytes(nowMs: number): number {
     const ageMs = nowMs - this.options.startMs;
     const hasInheritedExpired = ageMs > this.options.inheritedBoundMs;
--- a/packages/banyanfold-agent/src/memory/memoryBudget.ts
+++ b/packages/banyanfold-agent/src/memory/memoryBudget.ts
@@ -3,23 +3,23 @@
 import type {AllocationTable} from './allocationTable.js';
 import {KvAccount} from './kvAccount.js';
 
-/** Whether KV cache and weights share the reported memory. */
+/** Whether KV cache and weights share the reported memory capacity. */
 export type KvPool = 'shared' | 'separate';
 
-/** How a budget is built. */
+/** Options of {@link MemoryBudget}. */
 export interface MemoryBudgetOptions {
   clock: Clock;
   table: AllocationTable;
   kvPool: KvPool;
   kvFloorShare: number;
   inheritedBoundMs: number;
-  /** Whether a load that nobody here knows of may still arrive. */
+  /** Whether a load order of an earlier agent process may still arrive. */
   isInQuarantine(): boolean;
-  /** Whether the use of requests from before the start is known. */
+  /** Whether the KV cache use of requests from before the start is known. */
   isKvUseKnown(): boolean;
 }
 
-/** What of an engine's memory may still be promised, and to what. */
+/** Computes how much of an engine's memory loads and requests may reserve. */
 export class MemoryBudget {
   private readonly kvAccount: KvAccount;
   private lastReport: LedgerReport | undefined;
@@ -53,7 +53,7 @@
     );
   }
 
-  /** What a load may take now. */
+  /** The number of bytes that a load may reserve now. */
   freeBytes(): number {
     const weightBytes = this.options.table.weightBytes();
     const freeBytes =
@@ -62,9 +62,11 @@
   }
 
   /**
-   * What a request's KV cache may take now: nothing until the use of earlier
-   * requests is known, and until the inventory is certain the floor with them:
-   * a predecessor's late load may still come, and loads never take the floor.
+   * The number of bytes of KV cache that a request may reserve now.
+   *
+   * It is 0 until the use by inherited requests is known. In quarantine, new
+   * and inherited requests together are limited to the KV floor, which loads
+   * never use: a load order of an earlier process may still arrive.
    */
   kvFreeBytes(): number {
     if (!this.options.isKvUseKnown()) return 0;
@@ -84,13 +86,13 @@
     return this.capacityBytes() * this.options.kvFloorShare;
   }
 
-  /** What of the model memory counts as taken by KV cache. */
+  /** The part of the model memory that is set aside for KV cache. */
   private kvClaimedBytes(): number {
     if (this.options.kvPool === 'separate') return 0;
     return Math.max(this.kvCommittedBytes(), this.kvFloorBytes());
   }
 
-  /** How far KV cache may grow before it meets the weights. */
+  /** The most bytes that KV cache may use beside the allocated weights. */
   private kvLimitBytes(): number {
     const {kvPool, table, isInQuarantine} = this.options;
     if (kvPool === 'separate') return this.kvCapacityBytes();
--- a/packages/banyanfold-agent/src/memory/memoryLedger.ts
+++ b/packages/banyanfold-agent/src/memory/memoryLedger.ts
@@ -13,10 +13,10 @@
 import {MemoryBudget, type KvPool} from './memoryBudget.js';
 import {Quarantine} from './quarantine.js';
 
-/** An engine clock that fell by more than this belongs to a new engine. */
+/** If the engine's clock falls by more than this, the engine has restarted. */
 const ENGINE_RESTART_STEP_MS = 1_000;
 
-/** How a ledger is built. */
+/** Options of {@link MemoryLedger}. */
 export interface MemoryLedgerOptions {
   clock: Clock;
   checksFencing: boolean;
@@ -24,20 +24,21 @@
   kvPool: KvPool;
   kvFloorShare: number;
   inheritedBoundMs: number;
-  /** Names a copy that a report lists and no order here made. */
+  /** Creates an id for a reported copy that this process did not load. */
   createCopyId(artifact: string): string;
 }
 
 /**
- * The only authority on one engine's accelerator memory.
+ * The sole authority on the allocation of one engine's accelerator memory.
  *
- * Bytes are reserved before an order leaves and freed only on evidence: a
- * report taken, by the engine's clock, after the order is known to have
- * arrived or to be dead. Reports lag and orders are late, so an older report
- * that lacks a copy says nothing about a load that is still under way.
+ * Bytes are reserved before an order is sent. They are freed only by a report
+ * that was taken, on the engine's clock, after the order is known to have
+ * arrived or to be unable to arrive. Reports are stale and orders are delayed,
+ * so an older report that doesn't list a copy proves nothing about a load that
+ * is still in flight.
  */
 export class MemoryLedger {
-  /** How much may still be promised. */
+  /** Computes how much memory can still be reserved. */
   readonly budget: MemoryBudget;
   private readonly table = new AllocationTable();
   private readonly quarantine: Quarantine;
@@ -55,7 +56,7 @@
     });
   }
 
-  /** The copy of an artifact, in whatever state it is. */
+  /** Returns the allocation of an artifact in any state. */
   get(artifact: string): Allocation | undefined {
     return this.table.get(artifact);
   }
@@ -68,12 +69,12 @@
     return this.lastReport !== undefined;
   }
 
-  /** Whether requests for an artifact can be served: it and its model. */
+  /** Whether the artifact, and an adapter's base model, accept requests. */
   canServe(artifact: string): boolean {
     return this.table.canServe(artifact);
   }
 
-  /** A request for the artifact is admitted: it isn't unloaded meanwhile. */
+  /** Counts an admitted request, which defers the unload of its artifact. */
   beginUse(artifact: string): void {
     this.table.updateUse(artifact, 1, this.nowMs());
   }
@@ -82,27 +83,36 @@
     this.table.updateUse(artifact, -1, this.nowMs());
   }
 
-  /** Whether orders of an earlier incarnation can still change the engine. */
+  /** Whether orders of an earlier agent process can still reach the engine. */
   isInQuarantine(): boolean {
     return !this.quarantine.isOver;
   }
 
-  /** Whether requests may be admitted: their predecessors' use is known. */
+  /**
+   * Whether the KV cache use of requests from before the start is known. No
+   * requests are admitted before.
+   */
   isKvUseKnown(): boolean {
     return this.quarantine.isKvUseKnown;
   }
 
-  /** Whether an order under our fencing number is needed as a barrier. */
+  /**
+   * Whether a barrier is needed: an order with a newer fencing token, after
+   * which the engine rejects the earlier orders that are still in flight.
+   */
   needsBarrier(): boolean {
     if (!this.options.checksFencing) return false;
     return this.quarantine.needsBarrier || this.loadsInDoubt().length > 0;
   }
 
   /**
-   * The engine took an order under a fencing number that is higher than that
-   * of all orders in doubt: it refuses those from now on.
+   * Records that the engine accepted an order with a higher fencing token than
+   * that of the orders in doubt, which it rejects from then on.
    *
-   * @param visibleAfterMs engine clock: later reports show all earlier orders.
+   * @param visibleAfterMs Engine clock: reports taken later reflect all earlier
+   *     orders.
+   * @param inDoubtCopyIds The loads that were in doubt when the barrier order
+   *     was sent.
    */
   noteBarrierAccepted(
     visibleAfterMs: number,
@@ -116,12 +126,15 @@
     }
   }
 
-  /** Copies whose load order may or may not still arrive. */
+  /** Returns the allocations whose load order may still reach the engine. */
   loadsInDoubt(): Allocation[] {
     return this.table.loadsInDoubt();
   }
 
-  /** Sets a copy's bytes aside, before its load order leaves. */
+  /**
+   * Reserves the bytes of a copy before its load order is sent. If the artifact
+   * already has an allocation, that one is returned.
+   */
   reserveLoad(order: {
     artifact: string;
     bytes: number;
@@ -153,16 +166,17 @@
     return ok(allocation);
   }
 
-  /** The load order leaves, for the first time or again. */
+  /** Records that the load order is being sent or resent. */
   noteLoadSent(copyId: string): void {
     const allocation = this.table.findByCopyId(copyId);
     if (allocation) allocation.loadSentAtMs = this.options.clock.nowMs();
   }
 
   /**
-   * The engine took the order; copies of it do no more.
+   * Records that the engine accepted the load order. Duplicates of the order
+   * have no further effect.
    *
-   * @param visibleAfterMs engine clock: a later report shows the copy.
+   * @param visibleAfterMs Engine clock: reports taken later list the copy.
    */
   noteLoadAccepted(copyId: string, visibleAfterMs: number): void {
     const allocation = this.table.findByCopyId(copyId);
@@ -171,7 +185,10 @@
     allocation.conclusiveAfterMs ??= visibleAfterMs;
   }
 
-  /** The order's answer was lost, or it was refused and may be repeated. */
+  /**
+   * Records that it is unknown whether the engine received the load order, or
+   * that the engine refused it and may still accept a duplicate.
+   */
   noteLoadInDoubt(copyId: string): void {
     const allocation = this.table.findByCopyId(copyId);
     if (allocation?.state === 'reserved' && !allocation.isReported) {
@@ -179,14 +196,14 @@
     }
   }
 
-  /** The order provably never left, or can never be taken. */
+  /** Frees the reservation of a load order that was certainly not executed. */
   noteLoadNeverSent(copyId: string): void {
     const allocation = this.table.findByCopyId(copyId);
     if (!allocation || allocation.isReported) return;
     this.table.delete(allocation.artifact);
   }
 
-  /** The unload order is about to leave; its bytes stay counted. */
+  /** Records that the unload order is being sent. The bytes stay reserved. */
   startRelease(artifact: string, orderId: string): void {
     const allocation = this.table.get(artifact);
     if (!allocation) return;
@@ -197,13 +214,20 @@
     allocation.unloadSentBeforeEngineMs = undefined;
   }
 
-  /** @param visibleAfterMs engine clock: a later report shows the unload. */
+  /**
+   * Records that the engine accepted the unload order.
+   *
+   * @param visibleAfterMs Engine clock: reports taken later reflect the unload.
+   */
   noteUnloadAccepted(orderId: string, visibleAfterMs: number): void {
     const allocation = this.table.findByUnloadOrderId(orderId);
     if (allocation) allocation.unloadVisibleAfterMs = visibleAfterMs;
   }
 
-  /** Takes a report as evidence, if it is newer than all before it. */
+  /**
+   * Updates the ledger from a report. The report's inventory is ignored unless
+   * it is newer than that of all earlier reports; its timing is always used.
+   */
   observe(report: LedgerReport, timing: ReportTiming): LedgerEvent[] {
     const events = this.detectEngineRestart(timing);
     this.quarantine.observeTiming(timing);
@@ -216,6 +240,7 @@
     return [...events, ...this.reconcile(report)];
   }
 
+  /** Compares all allocations with the copies that a report lists. */
   private reconcile(report: LedgerReport): LedgerEvent[] {
     const events: LedgerEvent[] = [];
     const {takenAtMs, models} = report;
@@ -244,8 +269,8 @@
 
   /**
    * Without fencing, a lost load order can arrive until the bound on late
-   * delivery has passed. Only a report taken after that moment, on the engine's
-   * clock, proves that it didn't.
+   * delivery has passed. Only a report taken after that time on the engine's
+   * clock proves that it did not arrive.
    */
   private resolveExpiredDoubts(timing: ReportTiming): void {
     if (this.options.checksFencing) return;
@@ -257,10 +282,10 @@
   }
 
   /**
-   * Every answer to an unload order can be lost, and its bytes would stay
-   * counted for ever. An exchange that began after the order was sent gives a
-   * moment of the engine's clock; a report taken after it, without the copy,
-   * confirms the unload like an answer.
+   * If every answer to an unload order is lost, the bytes would stay reserved
+   * forever. A report request that was sent after the order yields a time on
+   * the engine's clock. A report that was taken after that time and doesn't
+   * list the copy confirms the unload like an answer.
    */
   private noteUnloadsSentBefore({sentAtMs, engineNowMs}: ReportTiming): void {
     for (const allocation of this.all()) {
@@ -271,9 +296,10 @@
   }
 
   /**
-   * A new engine process has a new clock and may have forgotten fencing numbers
-   * and order ids, so a late copy of an old order would load again. The start's
-   * quarantine is repeated, and old times prove nothing any more.
+   * Detects an engine restart by its clock. A new engine process may have lost
+   * its fencing tokens and order ids, so a delayed duplicate of an old order
+   * would be executed again. The quarantine restarts, and times of the previous
+   * process are invalidated.
    */
   private detectEngineRestart(timing: ReportTiming): LedgerEvent[] {
     const previousMs = this.lastEngineNowMs;
--- a/packages/banyanfold-agent/src/memory/quarantine.ts
+++ b/packages/banyanfold-agent/src/memory/quarantine.ts
@@ -1,29 +1,32 @@
 import type {ReportTiming} from './allocation.js';
 
-/** How a quarantine is built. */
+/** Options of {@link Quarantine}. */
 export interface QuarantineOptions {
-  /** Own clock, when no earlier process could order any more. */
+  /** Agent clock: no earlier agent process sends orders after this time. */
   startMs: number;
   checksFencing: boolean;
   orderLateBoundMs: number;
 }
 
 /**
- * The time in which orders of an earlier process may still arrive.
+ * Tracks the period in which orders of an earlier agent process may still
+ * reach the engine.
  *
- * A killed agent leaves orders under way that its successor knows nothing of.
- * A load that comes after the successor has given the memory away commits it
- * twice. An engine that checks fencing refuses them from the moment it takes an
- * order under the new number; of one that doesn't, they can come until the
- * bound on late delivery. A report taken after that moment shows all there is.
+ * A killed agent can leave orders in flight that its successor doesn't know
+ * about. If the successor has already reserved the memory for something else,
+ * such a load commits it twice. An engine that checks fencing rejects these
+ * orders once it has accepted an order with the new fencing token. Without
+ * fencing they can arrive until the bound on late delivery has passed. A report
+ * taken after that point contains the complete inventory and ends the
+ * quarantine.
  */
 export class Quarantine {
   private startedAtMs: number;
   private isInventoryComplete = false;
   private kvUseKnown = false;
-  /** Engine clock: at the first answer; nobody else sent requests after it. */
+  /** Engine clock at its first answer; no other agent sends requests later. */
   private firstResponseEngineMs: number | undefined;
-  /** Engine clock: a report taken later shows all that there is. */
+  /** Engine clock: a report taken later contains the complete inventory. */
   private completeAfterEngineMs: number | undefined;
 
   constructor(private readonly options: QuarantineOptions) {
@@ -35,15 +38,15 @@
   }
 
   /**
-   * Whether a report from after the start was read. Before it nobody knows what
-   * the requests of an earlier process take: reports lag, and its last ones,
-   * which may have gone beyond the floor, are not in them yet.
+   * Whether a report was taken after the engine's first answer to this process.
+   * Earlier reports may lack the last requests of the previous process, whose
+   * KV cache may exceed the floor.
    */
   get isKvUseKnown(): boolean {
     return this.kvUseKnown;
   }
 
-  /** Whether an order under the new fencing number is still to be taken. */
+  /** Whether no order with the new fencing token has been accepted yet. */
   get needsBarrier(): boolean {
     return (
       this.options.checksFencing && this.completeAfterEngineMs === undefined
@@ -51,15 +54,16 @@
   }
 
   /**
-   * The engine took an order under the new number.
+   * Records that the engine accepted an order with the new fencing token.
    *
-   * @param visibleAfterMs engine clock: later reports show all earlier orders.
+   * @param visibleAfterMs Engine clock: reports taken later reflect all earlier
+   *     orders.
    */
   noteBarrierAccepted(visibleAfterMs: number): void {
     this.completeAfterEngineMs ??= visibleAfterMs;
   }
 
-  /** Begins again: the engine is a new one. */
+  /** Restarts the quarantine after an engine restart. */
   restart(nowMs: number): void {
     this.startedAtMs = nowMs;
     this.isInventoryComplete = false;
--- a/packages/banyanfold-agent/src/memory/reconcileReport.ts
+++ b/packages/banyanfold-agent/src/memory/reconcileReport.ts
@@ -9,7 +9,7 @@
 }
 
 interface Reconciliation {
-  /** A copy that the ledger did not know. */
+  /** The allocation of a copy that the ledger did not contain. */
   adopted?: Allocation;
   event?: LedgerEvent;
 }
@@ -17,6 +17,7 @@
 interface ReconcileContext {
   /** Engine clock: when the report was taken. */
   takenAtMs: number;
+  /** Agent clock. */
   nowMs: number;
   createCopyId(artifact: string): string;
 }
@@ -27,7 +28,10 @@
   unloading: 'releasing',
 };
 
-/** What a newer report that lists an artifact says about its copy. */
+/**
+ * Updates an allocation from a report that lists its artifact, or creates one
+ * if the ledger has none. The report must be newer than all before it.
+ */
 export function reconcileListed(
   known: Allocation | undefined,
   model: ListedModel,
@@ -56,14 +60,18 @@
   },
   unloading(known, context) {
     if (known.state === 'releasing') return undefined;
-    // Nobody else should order here; a predecessor's late order can.
+    // This agent sent no unload order. A delayed order of an earlier agent
+    // process can still arrive.
     known.state = 'releasing';
     known.unloadVisibleAfterMs = context.takenAtMs;
     return createEvent('foreign-unload', known);
   },
 };
 
-/** A copy that should go is listed as usable. */
+/**
+ * Handles a copy that is being released but that a report lists as loaded. If
+ * the report is newer than the accepted unload, the engine ignored the order.
+ */
 function handleStillLoaded(
   known: Allocation,
   {takenAtMs}: ReconcileContext,
@@ -79,8 +87,9 @@
 }
 
 /**
- * What a newer report that lacks an artifact says about its copy: undefined
- * when it proves nothing, because it was taken before the order was received.
+ * Returns the event for an allocation whose artifact a report doesn't list. The
+ * result is undefined if the report may predate the engine's receipt of the
+ * order and therefore proves nothing.
  */
 export function reconcileAbsent(
   allocation: Allocation,
@@ -105,8 +114,8 @@
     isAfter(takenAtMs, allocation.conclusiveAfterMs)
       ? createEvent('vanished', allocation)
       : undefined,
-  // Without an answer, a report from after the sending is evidence as well: it
-  // lacks a copy that earlier ones listed.
+  // The answers to an unload order can be lost. A report taken after the order
+  // was sent is then sufficient, since earlier reports listed the copy.
   releasing: (allocation, takenAtMs) =>
     isAfter(takenAtMs, allocation.unloadVisibleAfterMs) ||
     isAfter(takenAtMs, allocation.unloadSentBeforeEngineMs)
