--- a/packages/banyanfold-agent/src/agent.ts
+++ b/packages/banyanfold-agent/src/agent.ts
@@ -22,7 +22,7 @@
 
 const DRAIN_POLL_MS = 20;
 
-/** What a test or an embedding program may put in place of the defaults. */
+/** Replacements for an agent's defaults, for tests and embedding programs. */
 export interface AgentOverrides {
   clock?: Clock;
   logger?: Logger;
@@ -31,24 +31,29 @@
   random?: () => number;
 }
 
-/** The process beside one backend server. */
+/** The agent of one backend server. */
 export interface Agent {
   /**
-   * Binds the port, reads the engine and takes a fencing number. Resolves after
-   * some seconds also while the engine or the log is out; both are tried on.
+   * Binds the port, reads the engine's report and acquires a fencing token. If
+   * the engine or the log is unavailable, it resolves after a few seconds and
+   * keeps retrying both.
    *
    * @throws BanyanfoldError `port-in-use`.
    */
   start(): Promise<{port: number}>;
-  /** Takes no new work, and resolves when what runs has ended or was cut. */
+  /**
+   * Refuses new attempts, and resolves when all open attempts have ended or
+   * the drain timeout has passed.
+   */
   drain(): Promise<void>;
+  /** Stops the agent and closes all connections without draining. */
   stop(): Promise<void>;
   handlers: AgentHandlers;
   metrics: Metrics;
 }
 
 /**
- * Creates the agent of one backend server.
+ * Creates the agent of one backend server. It does nothing until started.
  *
  * @example
  * const agent = createAgent({vmId: 'agent-1', internalKey,
@@ -84,8 +89,8 @@
   let draining: Promise<void> | undefined;
 
   async function start(): Promise<{port: number}> {
-    // The port goes first: a predecessor on this VM that is paused still holds
-    // it, and would wake up beside us and order as if alone.
+    // Bind the port first. A paused earlier agent on this VM still holds it and,
+    // once resumed, would send orders as if it were the only one.
     const port = await server.listen(settings.host, settings.port);
     logger.info('agent-start', {
       port,
@@ -157,9 +162,11 @@
 }
 
 /**
- * Refuses new work and waits for what runs. The listener stays: entries still
- * resume and seal here, and a successor that bound the port now would be a
- * second agent beside the engine.
+ * Refuses new attempts and waits for the open ones up to the drain timeout.
+ *
+ * The listener stays open: entries still resume streams and seal attempts here,
+ * and a successor that could bind the port would be a second agent of the same
+ * engine.
  */
 async function drainAttempts(context: AgentContext): Promise<void> {
   const {clock, logger, registry, settings} = context;
--- a/packages/banyanfold-agent/src/agentContext.ts
+++ b/packages/banyanfold-agent/src/agentContext.ts
@@ -20,35 +20,36 @@
 import type {MemoryLedger} from './memory/memoryLedger.js';
 import type {AgentSettings} from './settings.js';
 
-/** What all parts of an agent are built from. */
+/** Settings and services that all parts of an agent depend on. */
 export interface AgentDependencies extends PluginContext {
   settings: AgentSettings;
   log: LogService;
   random: () => number;
 }
 
-/** Whether the agent leaves; once it does, it does so for good. */
+/** Whether the agent is shutting down. Once set, the flag is never cleared. */
 export interface LeavingFlag {
   isLeaving(): boolean;
   markLeaving(): void;
 }
 
-/** The engine, its memory, and the right to give it orders. */
+/** The parts that manage the engine, its memory and the orders sent to it. */
 export interface EngineParts {
   fence: FenceKeeper;
   engine: EngineClient;
   ledger: MemoryLedger;
   orders: OrderSender;
+  /** Creates a unique id for an order about an artifact. */
   nextOrderId(artifact: string): string;
 }
 
-/** What waits and what runs. */
+/** The parts that queue, admit and track attempts. */
 export interface AdmissionParts {
   queue: AdmissionQueue;
   registry: AttemptRegistry;
 }
 
-/** What planners and entries are told, and what they may ask for. */
+/** The parts that follow engine and log, report load and handle proposals. */
 export interface ControlParts {
   prefixes: PrefixTracker;
   role: RunnerRoleState;
@@ -59,16 +60,16 @@
   proposals: ProposalHandler;
 }
 
-/** The way of a request. */
+/** The parts that serve requests. */
 export interface DataPathParts {
   attemptContext: AttemptContext;
   attempts: AttemptServer;
   seals: AttemptSealer;
-  /** Ends what still goes on in the background. */
+  /** Stops background work and closes the connections to the engine. */
   close(): Promise<void>;
 }
 
-/** What the parts of an agent share. */
+/** All parts of an agent. */
 export type AgentContext = AgentDependencies &
   LeavingFlag &
   EngineParts &
@@ -76,5 +77,5 @@
   ControlParts &
   DataPathParts;
 
-/** Plug-ins of agents, by name. */
+/** The registry of agent plug-ins by name. */
 export const agentPlugins = new PluginRegistry<AgentContext, Plugin>();
--- a/packages/banyanfold-agent/src/parts/createAdmissionParts.ts
+++ b/packages/banyanfold-agent/src/parts/createAdmissionParts.ts
@@ -6,7 +6,7 @@
 import {AdmissionQueue} from '../attempts/admissionQueue.js';
 import {AttemptRegistry} from '../attempts/attemptRegistry.js';
 
-/** Builds the queue and the registry of attempts. */
+/** Creates the admission queue and the registry of attempts. */
 export function createAdmissionParts(
   dependencies: AgentDependencies,
   {ledger}: EngineParts,
--- a/packages/banyanfold-agent/src/parts/createAgentContext.ts
+++ b/packages/banyanfold-agent/src/parts/createAgentContext.ts
@@ -8,22 +8,22 @@
 import {createDataPathParts} from './createDataPathParts.js';
 import {createEngineParts} from './createEngineParts.js';
 
-/** Builds the parts of an agent and connects them; nothing runs yet. */
+/** Creates the parts of an agent and connects them without starting any. */
 export function createAgentContext(
   dependencies: AgentDependencies,
 ): AgentContext {
   const leavingFlag = createLeavingFlag();
   const engineParts = createEngineParts(dependencies, leavingFlag);
   const admissionParts = createAdmissionParts(dependencies, engineParts);
-  const lowerParts = {
+  const coreParts = {
     ...dependencies,
     ...leavingFlag,
     ...engineParts,
     ...admissionParts,
   };
-  const controlParts = createControlParts(lowerParts);
-  const dataPathParts = createDataPathParts({...lowerParts, ...controlParts});
-  return {...lowerParts, ...controlParts, ...dataPathParts};
+  const controlParts = createControlParts(coreParts);
+  const dataPathParts = createDataPathParts({...coreParts, ...controlParts});
+  return {...coreParts, ...controlParts, ...dataPathParts};
 }
 
 function createLeavingFlag(): LeavingFlag {
--- a/packages/banyanfold-agent/src/parts/createControlParts.ts
+++ b/packages/banyanfold-agent/src/parts/createControlParts.ts
@@ -13,7 +13,10 @@
 import {ProposalHandler} from '../control/proposalHandler.js';
 import {RunnerRoleState} from '../control/runnerRoleState.js';
 
-/** Builds what follows the engine and the log, and what planners speak to. */
+/**
+ * Creates the parts that follow the engine and the log, report load, and handle
+ * the proposals of planners.
+ */
 export function createControlParts(
   dependencies: AgentDependencies & LeavingFlag & EngineParts & AdmissionParts,
 ): ControlParts {
@@ -68,7 +71,7 @@
   const config = new ConfigFollower({
     ...dependencies,
     vmId,
-    // Checkpoints are the entries' work; an agent never finds one due.
+    // Entries write the checkpoints; for an agent none is ever due.
     liveVmIds: () => [],
     retentionMs: Number.MAX_SAFE_INTEGER,
   });
--- a/packages/banyanfold-agent/src/parts/createDataPathParts.ts
+++ b/packages/banyanfold-agent/src/parts/createDataPathParts.ts
@@ -13,7 +13,7 @@
 import {createServiceDispatcher} from '../attempts/serviceAttempt.js';
 import {findKvBytesPerToken} from '../control/configView.js';
 
-/** Builds the way of a request, from the listener to the engine. */
+/** Creates the parts that take a request from the listener to the engine. */
 export function createDataPathParts(
   dependencies: AgentDependencies &
     LeavingFlag &
--- a/packages/banyanfold-agent/src/parts/createEngineParts.ts
+++ b/packages/banyanfold-agent/src/parts/createEngineParts.ts
@@ -8,7 +8,10 @@
 import {OrderSender} from '../engine/orderSender.js';
 import {MemoryLedger} from '../memory/memoryLedger.js';
 
-/** Builds the engine's client, its ledger and what gives it orders. */
+/**
+ * Creates the engine's client, its memory ledger, the fencing token's holder
+ * and the sender of orders.
+ */
 export function createEngineParts(
   dependencies: AgentDependencies,
   {markLeaving}: LeavingFlag,
@@ -39,7 +42,10 @@
   return {fence, engine, ledger, orders, nextOrderId};
 }
 
-/** Ids that are unique for all time: an incarnation names one process, once. */
+/**
+ * Returns a generator of order ids. The ids are never reused, because each
+ * process has its own incarnation.
+ */
 function createOrderIdGenerator(
   vmId: string,
   fence: FenceKeeper,
--- a/packages/banyanfold-agent/src/plugins/engine.ts
+++ b/packages/banyanfold-agent/src/plugins/engine.ts
@@ -1,11 +1,11 @@
 import {sleep, type Plugin} from '@banyanfold/core';
 import {agentPlugins, type AgentContext} from '../agentContext.js';
 
-/** The start waits no longer than this for the first report from after it. */
+/** The longest that the start waits for a report that postdates it. */
 const START_TIMEOUT_MS = 2_000;
 const START_POLL_MS = 10;
 
-/** Creates the plug-in that reads the engine's reports and gives it orders. */
+/** Creates the plug-in that polls the engine's reports and sends it orders. */
 export function enginePlugin(context: AgentContext): Plugin {
   const {clock, engineMonitor, ledger, orders, proposals, queue} = context;
   return {
--- a/packages/banyanfold-agent/src/plugins/fence.ts
+++ b/packages/banyanfold-agent/src/plugins/fence.ts
@@ -2,8 +2,9 @@
 import {agentPlugins, type AgentContext} from '../agentContext.js';
 
 /**
- * Creates the plug-in that gets this process its fencing number. The start
- * goes on while the log is out: what the engine holds is served meanwhile.
+ * Creates the plug-in that acquires this process's fencing token. If the log is
+ * unavailable, it retries in the background, and the agent meanwhile serves the
+ * copies that the engine holds.
  */
 export function fencePlugin({fence}: AgentContext): Plugin {
   return {
--- a/packages/banyanfold-agent/src/plugins/index.ts
+++ b/packages/banyanfold-agent/src/plugins/index.ts
@@ -5,8 +5,8 @@
 import './prefixCache.js';
 
 /**
- * In the order of their start. No setting changes it: without any of them an
- * agent would run, and promise what it can't keep.
+ * The agent's plug-ins in start order. They aren't configurable: without one of
+ * them an agent would run but make commitments that it can't keep.
  */
 export const AGENT_PLUGINS = [
   'engine',
--- a/packages/banyanfold-agent/src/plugins/metrics.ts
+++ b/packages/banyanfold-agent/src/plugins/metrics.ts
@@ -1,7 +1,7 @@
 import type {Plugin} from '@banyanfold/core';
 import {agentPlugins, type AgentContext} from '../agentContext.js';
 
-/** Creates the plug-in that shows what runs, waits and is free. */
+/** Creates the plug-in that registers gauges of requests and memory. */
 export function metricsPlugin(context: AgentContext): Plugin {
   const {metrics, queue, registry, ledger} = context;
   const {budget} = ledger;
--- a/packages/banyanfold-agent/src/plugins/prefixCache.ts
+++ b/packages/banyanfold-agent/src/plugins/prefixCache.ts
@@ -1,7 +1,7 @@
 import type {Plugin, Timer} from '@banyanfold/core';
 import {agentPlugins, type AgentContext} from '../agentContext.js';
 
-/** Creates the plug-in that reads the engine's cache events, one at a time. */
+/** Creates the plug-in that polls the engine's cache events sequentially. */
 export function prefixCachePlugin(context: AgentContext): Plugin {
   const {clock, engine, prefixes, metrics, settings} = context;
   let timer: Timer | undefined;
--- a/packages/banyanfold-agent/src/settings.ts
+++ b/packages/banyanfold-agent/src/settings.ts
@@ -8,56 +8,56 @@
 
 const engineSchema = z.strictObject({
   url: z.url(),
-  /** Whether the engine refuses an order with an old fencing number. */
+  /** Whether the engine rejects orders with an outdated fencing token. */
   checksFencing: z.boolean().default(false),
-  /** After this long an order that was sent can't arrive any more. */
+  /** The longest delay after which a sent order can still arrive. */
   orderLateBoundMs: durationMsSchema.default(30_000),
   requestTimeoutMs: durationMsSchema.default(2_000),
-  /** Silence on an open stream for longer than this counts as broken. */
+  /** An open stream without data for longer than this counts as broken. */
   streamIdleTimeoutMs: durationMsSchema.default(30_000),
-  /** A whole (not streamed) answer must have begun by then. */
+  /** The timeout until the start of a response that is not streamed. */
   wholeAnswerTimeoutMs: durationMsSchema.default(300_000),
-  /** Tries to resume one broken stream at the engine. */
+  /** The maximum number of attempts to resume a broken engine stream. */
   maxResumes: z.number().int().nonnegative().default(4),
   retryDelayMs: durationMsSchema.default(100),
 });
 
 const memorySchema = z.strictObject({
   /**
-   * Share of the accelerator memory that loads never take, so that requests
-   * always have KV cache. It must be the same before and after a restart.
+   * The share of accelerator memory that loads never use, so that requests
+   * always have KV cache. It must not change across a restart of the agent.
    */
   kvFloorShare: z.number().min(0).max(0.9).default(0.1),
   /**
-   * `shared`: KV cache and weights come out of the reported memory together.
-   * `separate`: the engine set its KV cache aside and reports it apart.
+   * `shared`: KV cache and weights share the reported memory capacity.
+   * `separate`: the engine reserves its KV cache and reports it separately.
    */
   kvPool: z.enum(['shared', 'separate']).default('shared'),
   kvBytesPerToken: countSchema.default(131_072),
-  /** Requests that came before a restart have ended after this long. */
+  /** The longest time that a request from before a restart can still run. */
   inheritedBoundMs: durationMsSchema.default(600_000),
   /**
-   * A copy from before a restart isn't retired until nobody can rely on it
-   * under its earlier id any more.
+   * How long a copy from before a restart isn't retired, since pending
+   * retirements of other copies may rely on it under its earlier id.
    */
   inheritedRetireHoldMs: durationMsSchema.default(120_000),
 });
 
 const retentionSchema = z.strictObject({
-  /** Kept events of one attempt; the oldest go first. */
+  /** The bytes of events kept per attempt; the oldest are dropped first. */
   bytesPerAttempt: countSchema.default(MIB),
-  /** Kept events of all attempts whose stream has ended. */
+  /** The bytes of events kept for all attempts whose stream has ended. */
   totalBytes: countSchema.default(GIB / 16),
-  /** How long a sealed or finished attempt id is known. */
+  /** How long the id of a sealed or finished attempt is kept. */
   attemptIdMs: durationMsSchema.default(1_200_000),
   /**
-   * After the start, a seal that names no incarnation isn't answered
-   * `never-started`: the attempt may have run before the restart.
+   * How long after the start a seal without an incarnation isn't answered with
+   * `never-started`, because the attempt may have run before a restart.
    */
   sealGraceMs: durationMsSchema.default(60_000),
 });
 
-/** Settings of the process beside one backend server. */
+/** Settings of the agent of one backend server. */
 export const agentSettingsSchema = z.strictObject({
   vmId: z.string().min(1),
   host: z.string().default('127.0.0.1'),
@@ -72,7 +72,7 @@
     .default([]),
   platform: z.strictObject({
     logUrl: z.url(),
-    /** How long the log keeps a record, at least. */
+    /** The minimum time that the log keeps a record. */
     logRetentionMs: durationMsSchema.default(3_600_000),
   }),
   maxRunning: countSchema.default(16),
@@ -80,10 +80,11 @@
   maxServiceCalls: countSchema.default(64),
   maxBodyBytes: countSchema.default(64 * MIB),
   serviceTimeoutMs: durationMsSchema.default(60_000),
-  /** How long a broken-off caller may come back for its stream. */
+  /** How long a disconnected caller may resume its stream. */
   resumeWindowMs: durationMsSchema.default(5_000),
+  /** The timeout of a drain. */
   drainBoundMs: durationMsSchema.default(120_000),
-  /** How often the engine's report is read. */
+  /** The interval between reads of the engine's report and cache events. */
   reportIntervalMs: durationMsSchema.default(250),
   maxCachedPrefixes: countSchema.default(256),
   memory: memorySchema.default(() => memorySchema.parse({})),
@@ -93,7 +94,7 @@
 export type AgentSettings = z.infer<typeof agentSettingsSchema>;
 export type AgentSettingsInput = z.input<typeof agentSettingsSchema>;
 
-/** The settings that have a default. */
+/** Example settings that contain the default of every optional setting. */
 export const DEFAULT_AGENT_SETTINGS = agentSettingsSchema.parse({
   vmId: 'agent',
   internalKey: 'set-your-own',
