--- a/packages/banyanfold-agent/src/__tests__/agent.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/agent.test.ts
@@ -27,7 +27,7 @@
     return started;
   }
 
-  it('streams an attempt whole, under the ids the entry gave', async () => {
+  it('streams a complete attempt with the ids from the entry', async () => {
     const target = await start();
     const {attemptId, requestId, response} = await sendAttempt(target);
     expect(response.statusCode).toBe(200);
@@ -42,7 +42,7 @@
     );
   });
 
-  it('answers a request that is not streamed in one piece', async () => {
+  it('answers a request without streaming in one response', async () => {
     const target = await start();
     const {requestId, response} = await sendAttempt(target, {
       body: chatBody({stream: false}),
@@ -57,7 +57,7 @@
     );
   });
 
-  it('reports what the engine holds and loads what is proposed', async () => {
+  it('reports the loaded copies and loads a proposed copy', async () => {
     const target = await start();
     await until(() =>
       target.agent.handlers.report().then(r => r.memoryFreeBytes > 0),
@@ -84,9 +84,9 @@
     expect(incarnation).toBe(1);
   });
 
-  // An entry that holds the report from before a load must hear of the copy,
-  // and one that missed nothing needs no list.
-  it('leaves the copies out of its report until they change', async () => {
+  // An entry whose last report predates a load must receive the new copy. An
+  // entry that is up to date needs no list of copies.
+  it('omits the copies from its report until they change', async () => {
     const target = await start();
     await until(async () => {
       const {copies} = await target.client.report.query();
--- a/packages/banyanfold-agent/src/__tests__/configView.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/configView.test.ts
@@ -24,8 +24,9 @@
 const STATE = {version: 1, foldedThrough: 1, body: BODY};
 
 describe('isUnpublished', () => {
-  // The last copy of an artifact may go only if no request can want it. One
-  // that is listed and that no selector reaches kept its memory for ever.
+  // The last copy of an artifact may be retired only if no request can use the
+  // artifact. If one that is listed but matched by no selector counted as
+  // published, its memory would never be freed.
   it.each([
     ['claims@1', false],
     ['claims@1+suva@1', false],
@@ -35,7 +36,7 @@
     expect(isUnpublished(STATE, artifact)).toBe(expected);
   });
 
-  it('is never said while no configuration is known', () => {
+  it('is false while no configuration is known', () => {
     expect(isUnpublished(undefined, 'claims@1')).toBe(false);
   });
 });
--- a/packages/banyanfold-agent/src/__tests__/ledgerSimulation.ts
+++ b/packages/banyanfold-agent/src/__tests__/ledgerSimulation.ts
@@ -29,7 +29,10 @@
   | {kind: 'refuse-loads'; count: number}
   | {kind: 'log'; isUp: boolean};
 
-/** An engine, the agent beside it, and what goes wrong between them. */
+/**
+ * Simulates an engine and its agent on a virtual clock, with faults of the
+ * orders, the reports, the agent and the log.
+ */
 export class LedgerSimulation {
   readonly clock = new VirtualClock();
   readonly engine: EngineTruth;
@@ -50,12 +53,13 @@
     this.startAgent();
   }
 
+  /** Executes one step. */
   async run(step: Step): Promise<void> {
     await (this.handlers[step.kind] as (step: Step) => unknown)(step);
     await this.clock.advance(0);
   }
 
-  /** The faults end, and time passes until nothing can be under way. */
+  /** Clears all faults and advances time until no order can be in flight. */
   async settle(): Promise<void> {
     this.engine.faults = [];
     this.engine.reportLagMs = 0;
@@ -123,7 +127,7 @@
     });
   }
 
-  /** The port is bound: there is never a second one. */
+  /** Starts an agent; since agents bind a port, only one runs at a time. */
   private startAgent(): void {
     const {clock, engine, checksFencing} = this;
     const logger = new MemoryLogger();
--- a/packages/banyanfold-agent/src/__tests__/lifecycle.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/lifecycle.test.ts
@@ -23,7 +23,7 @@
 
 type Target = Awaited<ReturnType<typeof start>>;
 
-/** A second agent beside the same engine and log. */
+/** Starts a second agent with the same engine and log. */
 function startSecondAgent(target: Target, settings = {}) {
   return start({
     fakeEngine: {
@@ -46,6 +46,7 @@
   } as Parameters<typeof target.client.propose.mutate>[0]);
 }
 
+/** Waits until a load is refused for lack of memory, not for quarantine. */
 async function untilQuarantineEnds(target: Target): Promise<Target> {
   await until(async () => {
     const probe = {artifact: 'probe@1', bytes: 1e15};
@@ -55,7 +56,7 @@
 }
 
 const HOUR_MS = 3_600_000;
-/** The stand-in log's clock is the machine's. */
+/** The simulated log uses the system clock. */
 const VIEWED_NOW = {viewedAtMs: Date.now()};
 const RETIRE_ELSEWHERE = {
   kind: 'retire',
@@ -63,9 +64,9 @@
   reliesOnCopyIds: ['agent-2/claims@1#7.1'],
 };
 
-// The predecessor on this VM is paused, not dead: it will wake up and order as
-// if it were alone. It still holds the port, so the successor must not start,
-// nor take a fencing number for orders of its own.
+// A previous agent on this VM is paused, not stopped. Once resumed, it sends
+// orders as if it were the only agent. It still holds the port, so the new
+// agent must neither start nor acquire a fencing token.
 describe('start', () => {
   it('fails while another process holds the port', async () => {
     const target = await start();
@@ -80,9 +81,10 @@
     expect(await fences.json()).toMatchObject({nextOffset: 2});
   });
 
-  // The log is out while an agent starts. Callers must still be served what the
-  // engine holds, and no order may leave without a number of its own.
-  it('serves without orders while the log is out', async () => {
+  // The log is unavailable while an agent starts. It must still serve the
+  // copies that the engine holds, and send no order without its own fencing
+  // token.
+  it('serves requests but sends no orders during a log outage', async () => {
     const target = await start({logUrl: 'http://127.0.0.1:9'});
     const {incarnation} = await target.client.report.query();
     expect(incarnation).toBeLessThan(0);
@@ -94,7 +96,7 @@
     expect(target.engine.state.truth.ofKind('order-applied')).toEqual([]);
   });
 
-  it('takes a number when the log is back, and keeps its attempts', async () => {
+  it('gets a fencing token after a log outage, keeping attempts', async () => {
     const target = await start();
     const {logStandin} = target;
     logStandin.state.faults.set({outage: 'refuse'});
@@ -110,7 +112,7 @@
     await readUntilCut(response.body);
   });
 
-  it('gives no load order before the late bound without fencing', async () => {
+  it('sends no load order before the late bound without fencing', async () => {
     const settings = {engine: {checksFencing: false, orderLateBoundMs: 60_000}};
     const target = await start({engine: {checksFencing: false}, settings});
     const refused = await propose(target, {artifact: 'a@1', bytes: GIB});
@@ -119,10 +121,10 @@
   });
 });
 
-// Two agents with different ports beside one engine: a fault of the settings.
-// The engine refuses the older one's orders, which then stops.
-describe('an agent with an older fencing number', () => {
-  it('stops taking work once the engine refuses its order', async () => {
+// Two agents with different ports are configured for one engine by mistake. The
+// engine rejects orders of the older agent, which must then refuse new work.
+describe('an agent with an older fencing token', () => {
+  it('refuses new work once the engine rejects its order', async () => {
     const older = await untilQuarantineEnds(await start());
     await untilQuarantineEnds(await startSecondAgent(older));
     await propose(older, {artifact: 'a@1', bytes: GIB});
@@ -134,7 +136,7 @@
 });
 
 describe('propose', () => {
-  it('refuses an older planner, and answers a repeated proposal alike', async () => {
+  it('refuses an older planner and repeats earlier results', async () => {
     const target = await untilQuarantineEnds(await start());
     const load = {proposalId: 'same', artifact: 'a@1', bytes: GIB};
     const first = await propose(target, load);
@@ -168,7 +170,7 @@
     await until(async () => (await propose(target, fields)).reason === reason);
   });
 
-  it('holds a copy from before the start back from retirement', async () => {
+  it('refuses to retire a copy from before the start too early', async () => {
     const target = await untilQuarantineEnds(await start());
     const fields = {kind: 'retire', artifact: 'claims@1'};
     const {reason} = await propose(target, {
@@ -178,8 +180,8 @@
     expect(reason).toBe('inherited-too-new');
   });
 
-  // A copy goes while a caller still reads an answer that it makes. The answer
-  // must come to its end first, and no new request may get the copy.
+  // A copy is retired while it generates a response. The response must complete
+  // before the unload, and the copy must accept no new request.
   it('unloads a retired copy after the last request on it', async () => {
     const memory = {inheritedRetireHoldMs: 0};
     const target = await untilQuarantineEnds(await start({settings: {memory}}));
@@ -213,7 +215,7 @@
     expect(kinds).toEqual(['request-finished', 'order-applied']);
   });
 
-  it('changes the role and reports it', async () => {
+  it('sets the role and reports it', async () => {
     const target = await untilQuarantineEnds(await start());
     const set = {kind: 'set-role', runnerRole: 'desk'};
     expect(await propose(target, set)).toEqual({
--- a/packages/banyanfold-agent/src/__tests__/loadReporter.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/loadReporter.test.ts
@@ -7,15 +7,16 @@
     for (const stop of stops.splice(0)) await stop();
   });
 
-  it('reports how many requests its runner runs at once', async () => {
+  it('reports the maximum of concurrent requests', async () => {
     const {client, stop} = await startTestAgent({settings: {maxRunning: 3}});
     stops.push(stop);
     expect((await client.report.query()).maxRunning).toBe(3);
   });
 
-  // Guards against callers refused by an agent that started a moment ago.
-  it('asks for no requests until it knows the memory of its engine', async () => {
-    // The engine's reports are older than the agent, and than its wait for one.
+  // If a newly started agent reported itself as ready before it knew the KV
+  // cache use, it would refuse the requests that entries send to it.
+  it('reports that it is leaving until the KV cache use is known', async () => {
+    // The reports lag longer than the agent's start waits for a current one.
     const {client, stop} = await startTestAgent({engine: {reportLagMs: 2_400}});
     stops.push(stop);
     const first = await client.report.query();
--- a/packages/banyanfold-agent/src/__tests__/memoryLedger.model.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/memoryLedger.model.test.ts
@@ -7,11 +7,14 @@
   type Step,
 } from './ledgerSimulation.js';
 
-/** Seed 13 found requests of a predecessor that a lagging report lacked. */
+/**
+ * Seed 13 covers requests of a previous agent process that a stale report did
+ * not contain.
+ */
 const SEEDS = [1, 2, 3, 13];
 const RUNS_PER_SEED = 120;
 
-/** Sizes that two at most fit in beside each other. */
+/** Sizes of which at most two models fit into the memory together. */
 const ARTIFACTS = [
   {artifact: 'claims@1', bytes: 40},
   {artifact: 'claims@2', bytes: 42},
@@ -57,7 +60,9 @@
   faults: fc.array(faultArbitrary, {minLength: 1, maxLength: 8}),
 });
 
-/** As many as an order is sent times, so that it ends in doubt. */
+/**
+ * About as many faults as a load order has transmissions: it stays in doubt.
+ */
 const lateBurst: fc.Arbitrary<Step> = fc
   .tuple(
     fc.constantFrom<OrderFault>('late', 'lost'),
@@ -106,17 +111,19 @@
   )
   .map(step => [step]);
 
-/** The agent dies while its load is on the way, and another takes over. */
+/**
+ * The agent crashes while its load order is in flight, and a new one starts.
+ */
 const loadAndCrash = fc
   .tuple(lateBurst, load, advance(1, 40), crash, advance(1, 280), load)
   .map(steps => [...steps]);
 
-/** A load stays in doubt while others are asked for. */
+/** A load stays in doubt while others are proposed. */
 const doubtfulLoad = fc
   .tuple(lateBurst, load, advance(60, 250), load, advance(20, 250), load)
   .map(steps => [...steps]);
 
-/** One version goes while the next one comes. */
+/** One version is retired while the next one is loaded. */
 const versionChange = fc
   .tuple(retire, advance(1, 60), load, request, advance(1, 60), load)
   .map(steps => [...steps]);
@@ -133,15 +140,16 @@
   )
   .map(groups => groups.flat());
 
-// Orders to the engine are lost, arrive late, twice or with their answer lost;
-// reports are old; the weight store refuses; the agent dies at any moment and
-// another starts; the log is out. The engine here commits whatever it is told:
-// any promise too much shows, as the crash of an accelerator would.
+// Orders are lost, delayed or duplicated, or their answers are lost. Reports
+// are stale, the weight store refuses loads, the log is unavailable, and the
+// agent crashes at any time and restarts. The simulated engine commits
+// everything that it is ordered to and records each overcommitment of its
+// memory.
 describe.each([
   {engine: 'checks fencing', checksFencing: true},
   {engine: 'ignores fencing', checksFencing: false},
 ])('the memory of an engine that $engine', ({checksFencing}) => {
-  it.each(SEEDS)('is never committed twice (seed %i)', async seed => {
+  it.each(SEEDS)('is never overcommitted (seed %i)', async seed => {
     const property = fc.asyncProperty(stepsArbitrary, async steps => {
       const simulation = new LedgerSimulation(checksFencing);
       await simulation.run({kind: 'advance', ms: 2 * LATE_BOUND_MS});
@@ -151,7 +159,7 @@
       }
       await simulation.settle();
       expect(simulation.engine.violations).toEqual([]);
-      // Nothing stays reserved for good either.
+      // No reservation is left over either.
       const states = simulation.ledger.all().map(({state}) => state);
       expect(states.filter(state => state !== 'held')).toEqual([]);
       const ledgerBytes = simulation.ledger
--- a/packages/banyanfold-agent/src/__tests__/memoryLedger.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/memoryLedger.test.ts
@@ -10,7 +10,7 @@
   state: 'loading' | 'loaded' | 'unloading';
 };
 
-/** A ledger whose engine's clock is an hour ahead. */
+/** Creates a ledger on a virtual clock, with helpers to report to it. */
 function createLedger(options: {checksFencing?: boolean; kvPool?: 'separate'}) {
   const clock = new VirtualClock();
   const ledger = new MemoryLedger({
@@ -64,7 +64,7 @@
 });
 
 describe('MemoryLedger', () => {
-  it('promises nothing before a report, nor in quarantine', () => {
+  it('reserves nothing before a report or in quarantine', () => {
     const {reserveLoad, observe, endQuarantine} = createLedger({});
     expect(reserveLoad('a@1', 1)).toBe('no-report');
     observe(5);
@@ -73,7 +73,7 @@
     expect(reserveLoad('a@1', 1)).toBe('reserved');
   });
 
-  it('keeps the floor and running requests from loads', () => {
+  it('keeps loads off the KV floor and the memory of running requests', () => {
     const {reserveLoad, endQuarantine, ledger} = createLedger({});
     endQuarantine();
     expect(reserveLoad('a@1', 91)).toBe('no-memory');
@@ -84,7 +84,7 @@
     expect(ledger.budget.kvFreeBytes()).toBe(0);
   });
 
-  it('does not count KV cache that the engine set aside', () => {
+  it('does not count KV cache that the engine reserves separately', () => {
     const {reserveLoad, endQuarantine, ledger} = createLedger({
       kvPool: 'separate',
     });
@@ -94,11 +94,12 @@
     expect(ledger.budget.kvFreeBytes()).toBe(20);
   });
 
-  // A predecessor's load may be on its way. It was reserved beside the floor,
-  // so requests may have the floor and no more until it must have arrived.
-  it('keeps requests to the floor in quarantine', () => {
+  // A load order of the previous process may be in flight. Loads never use the
+  // KV floor, so requests are limited to the floor until no such order can
+  // arrive.
+  it('limits requests to the KV floor in quarantine', () => {
     const {observe, endQuarantine, ledger} = createLedger({});
-    // Its last requests may not be in this report yet.
+    // This report may not yet contain the last requests of that process.
     observe(5, [], {kvUsedBytes: 0});
     expect(ledger.budget.kvFreeBytes()).toBe(0);
     observe(6, [], {kvUsedBytes: 4});
@@ -107,7 +108,7 @@
     expect(ledger.budget.kvFreeBytes()).toBe(50);
   });
 
-  it('frees a failed load only by a report from after its order', () => {
+  it('frees a failed load only after a report newer than its order', () => {
     const {observe, endQuarantine, reserveLoad, ledger} = createLedger({});
     endQuarantine();
     reserveLoad('a@1', 60);
@@ -118,7 +119,7 @@
     expect(observe(31)).toEqual(['load-failed a@1']);
   });
 
-  it('frees an unloaded copy only by a report from after its order', () => {
+  it('frees an unloaded copy only after a report newer than its order', () => {
     const {observe, endQuarantine, ledger} = createLedger({});
     endQuarantine();
     observe(20, [loadedModel('a@1')]);
@@ -129,9 +130,9 @@
     expect(observe(41)).toEqual(['released a@1']);
   });
 
-  // Two reports cross on their way. The older one lists a copy that is gone;
-  // taken at its word, requests would be sent to it.
-  it('does not bring a copy back by an older report', () => {
+  // Two reports arrive out of order. The older one lists a copy that is no
+  // longer loaded; if it were applied, requests would be sent to that copy.
+  it('does not restore a copy from an older report', () => {
     const {observe, endQuarantine, ledger} = createLedger({});
     endQuarantine();
     observe(20, [loadedModel('a@1')]);
@@ -140,7 +141,7 @@
     expect(ledger.canServe('a@1')).toBe(false);
   });
 
-  it('ends a doubt by a barrier and a later report', () => {
+  it('resolves a load in doubt by a barrier and a later report', () => {
     const {observe, endQuarantine, reserveLoad, ledger} = createLedger({});
     endQuarantine();
     reserveLoad('a@1', 60);
@@ -152,7 +153,7 @@
     expect(observe(61)).toEqual(['doubt-ended a@1']);
   });
 
-  it('ends a doubt without fencing by the bound and a later report', async () => {
+  it('resolves a load in doubt without fencing by the late bound', async () => {
     const {clock, observe, reserveLoad, ledger} = createLedger({
       checksFencing: false,
     });
@@ -164,13 +165,13 @@
     await clock.advance(LATE_BOUND_MS - 1);
     expect(observe(200, [], {engineNowMs: 210})).toEqual([]);
     await clock.advance(1);
-    // The bound has passed, but this report was taken before.
+    // The late bound has passed, but this report was taken before it did.
     expect(observe(205, [], {engineNowMs: 220})).toEqual([]);
     expect(observe(220, [], {engineNowMs: 230})).toEqual([]);
     expect(observe(221, [], {engineNowMs: 231})).toEqual(['doubt-ended a@1']);
   });
 
-  it('takes over what it finds, in each state', () => {
+  it('adopts the reported copies in each state', () => {
     const {observe, ledger} = createLedger({});
     const models: EngineModel[] = [
       loadedModel('a@1'),
@@ -186,7 +187,7 @@
     ]);
   });
 
-  it('serves an adapter only with its model', () => {
+  it('serves an adapter only with its base model', () => {
     const {observe, ledger} = createLedger({});
     observe(20, [loadedModel('a@1+x@1')]);
     expect(ledger.canServe('a@1+x@1')).toBe(false);
@@ -194,24 +195,24 @@
     expect(ledger.canServe('a@1+x@1')).toBe(true);
   });
 
-  // The engine does the unload, and each answer to the order is lost. A report
-  // from after the sending lacks the copy: it is gone, whatever became of the
-  // answers. Before, its bytes stayed counted for ever, and the next version of
-  // the model found no room.
-  it('releases a copy that is gone although no answer ever came', async () => {
+  // The engine unloads the copy, but every answer to the order is lost. A
+  // report that was taken after the order was sent and doesn't list the copy
+  // proves the unload. Otherwise its bytes would stay reserved forever, and the
+  // next version of the model would not fit.
+  it('releases an unloaded copy although every answer was lost', async () => {
     const {clock, observe, endQuarantine, ledger} = createLedger({});
     endQuarantine();
     observe(20, [loadedModel('a@1')]);
     ledger.startRelease('a@1', 'unload-1');
     expect(observe(21)).toEqual([]);
     await clock.advance(1);
-    // Asked after the sending, but taken before it.
+    // The report was requested after the order was sent but taken before it.
     expect(observe(22, [], {engineNowMs: 50})).toEqual([]);
     expect(observe(50, [], {engineNowMs: 60})).toEqual([]);
     expect(observe(51, [], {engineNowMs: 60})).toEqual(['released a@1']);
   });
 
-  it('asks for an unload again that the engine took and did not do', () => {
+  it('requests an unload again that the engine accepted but ignored', () => {
     const {observe, endQuarantine, ledger} = createLedger({});
     endQuarantine();
     observe(20, [loadedModel('a@1')]);
@@ -221,9 +222,9 @@
     expect(observe(41, [loadedModel('a@1')])).toEqual(['unload-ignored a@1']);
   });
 
-  // The engine's process is a new one: its clock has fallen back, and it may
-  // have forgotten which orders it took. Old times prove nothing any more.
-  it('goes back into quarantine when the engine is a new one', () => {
+  // After an engine restart its clock has fallen back, and it may have lost the
+  // ids of the orders that it accepted. Times of the old process prove nothing.
+  it('returns to quarantine after an engine restart', () => {
     const {observe, endQuarantine, reserveLoad, ledger} = createLedger({});
     endQuarantine(50_000);
     reserveLoad('a@1', 60);
--- a/packages/banyanfold-agent/src/__tests__/prefixTracker.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/prefixTracker.test.ts
@@ -6,13 +6,13 @@
 }
 
 describe('PrefixTracker', () => {
-  it('keeps the newest, up to its bound', () => {
+  it('keeps the most recent prefixes up to its limit', () => {
     const tracker = new PrefixTracker(2);
     for (const hash of ['a', 'b', 'a', 'c']) tracker.noteCached(hash);
     expect(tracker.newestFirst()).toEqual(['c', 'a']);
   });
 
-  it('applies events, each once', () => {
+  it('applies each event once', () => {
     const tracker = new PrefixTracker(9);
     const events = [
       cacheEvent(1, 'stored', 'a'),
@@ -25,9 +25,9 @@
     expect(tracker.fromSeq).toBe(4);
   });
 
-  // The eviction of `a` was lost with event 2. Believed cached, it would draw
-  // requests here that find nothing.
-  it('forgets what a gap may have evicted', () => {
+  // Event 2 with the eviction of `a` was lost. If `a` still counted as cached,
+  // requests would be routed here only to find it missing.
+  it('drops the prefixes that may have been evicted in a gap', () => {
     const tracker = new PrefixTracker(9);
     tracker.apply({nextSeq: 2, events: [cacheEvent(1, 'stored', 'a')]});
     const late = {nextSeq: 4, events: [cacheEvent(3, 'stored', 'c')]};
--- a/packages/banyanfold-agent/src/__tests__/proposalHandler.test.ts
+++ b/packages/banyanfold-agent/src/__tests__/proposalHandler.test.ts
@@ -14,7 +14,7 @@
 
 type Verdict = Result<RetireVerdict, BanyanfoldError>;
 
-/** A handler whose log answers when the test says so. */
+/** Creates a handler whose log answers when the test resolves the verdict. */
 function createHandler() {
   const clock = new VirtualClock();
   const ledger = new MemoryLedger({
@@ -88,9 +88,9 @@
 }
 
 describe('propose retire', () => {
-  // The log judges the model's retirement while a load of its adapter comes.
-  // Were it taken, the adapter would hold memory and could serve nobody.
-  it('loads no adapter of a model that the log judges', async () => {
+  // The load of an adapter is proposed while the log decides on the retirement
+  // of its model. If accepted, the adapter would occupy memory without use.
+  it('loads no adapter while its model may be retired', async () => {
     const {propose, resolveVerdict, unloadedArtifacts, clock} = createHandler();
     const first = propose({});
     const load = {kind: 'load', artifact: 'a@1+x@1', bytes: 1} as const;
@@ -102,8 +102,8 @@
     expect(unloadedArtifacts).toEqual(['a@1']);
   });
 
-  // The record is in the log, its answer is lost: others count the copy as
-  // retired, and each new proposal for it is void. Its memory must come free.
+  // The record is in the log, but the answer was lost. Others treat the copy as
+  // retired, and further proposals for it are void. Its memory must be freed.
   it('unloads a copy whose verdict was lost once the log shows it', async () => {
     const {propose, resolveVerdict, retiredCopyIds, unloadedArtifacts, clock} =
       createHandler();
--- a/packages/banyanfold-agent/src/__tests__/testAgent.ts
+++ b/packages/banyanfold-agent/src/__tests__/testAgent.ts
@@ -14,7 +14,7 @@
 
 export interface TestAgentOptions {
   engine?: EngineOptions;
-  /** In place of the stand-in. */
+  /** Replaces the simulated engine. */
   fakeEngine?: {start(): Promise<{port: number}>; stop(): Promise<void>};
   settings?: Partial<Omit<AgentSettingsInput, 'engine'>> & {
     engine?: Partial<AgentSettingsInput['engine']>;
@@ -22,7 +22,7 @@
   logUrl?: string;
 }
 
-/** An agent with stand-ins around it, all on free loopback ports. */
+/** Starts an agent with a simulated engine and log on free loopback ports. */
 export async function startTestAgent(options: TestAgentOptions = {}) {
   const logStandin = new LogStandin();
   const logUrl =
@@ -102,7 +102,7 @@
 
 const dispatcher = new Dispatcher({pipelining: 0});
 
-/** Sends an attempt as an entry does. */
+/** Sends an attempt with the headers that an entry sets. */
 export async function sendAttempt(
   target: {agent: Agent; port: number},
   options: AttemptOptions = {},
@@ -148,7 +148,7 @@
   };
 }
 
-/** The body's text, or what came of it before it was cut. */
+/** Reads a body up to its end or until the connection is closed early. */
 export async function readUntilCut(
   body: AsyncIterable<Uint8Array>,
 ): Promise<{text: string; cut: boolean}> {
@@ -164,7 +164,7 @@
   }
 }
 
-/** What a caller reads out of an attempt's frames. */
+/** Parses the event frames of an attempt's response. */
 export function readFrames(text: string): {
   ids: string[];
   chunkIds: Set<string>;
@@ -193,7 +193,7 @@
   return {ids, chunkIds, content, done};
 }
 
-/** Waits until a condition holds; the test's own timeout is the bound. */
+/** Polls until the condition holds; only the test's timeout limits the wait. */
 export async function until(
   condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
--- a/packages/banyanfold-agent/src/agent.ts
+++ b/packages/banyanfold-agent/src/agent.ts
@@ -89,8 +89,8 @@
   let draining: Promise<void> | undefined;
 
   async function start(): Promise<{port: number}> {
-    // Bind the port first. A paused earlier agent on this VM still holds it and,
-    // once resumed, would send orders as if it were the only one.
+    // Bind the port first. A paused earlier agent on this VM still holds it,
+    // and once resumed it would send orders as if it were alone.
     const port = await server.listen(settings.host, settings.port);
     logger.info('agent-start', {
       port,
