--- a/packages/banyanfold-agent/src/control/engineMonitor.ts
+++ b/packages/banyanfold-agent/src/control/engineMonitor.ts
@@ -7,7 +7,10 @@
 import type {LedgerEvent} from '../memory/allocation.js';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
 
-/** The longest backoff between barriers, for example during a log outage. */
+/**
+ * The longest backoff between barriers. During a log outage it limits the
+ * requests for new fencing tokens.
+ */
 const BARRIER_RETRY_CAP_MS = 5_000;
 
 /** Options of {@link EngineMonitor}. */
@@ -45,7 +48,7 @@
     this.backoff = new Backoff({capMs: BARRIER_RETRY_CAP_MS, random});
   }
 
-  /** Resolves after the first report request; polls at each interval then. */
+  /** Reads a report and resolves; later reports are read at each interval. */
   async start(): Promise<void> {
     await this.poll();
   }
--- a/packages/banyanfold-agent/src/control/loadReporter.ts
+++ b/packages/banyanfold-agent/src/control/loadReporter.ts
@@ -34,11 +34,13 @@
 
   constructor(private readonly options: LoadReporterOptions) {}
 
+  /** Counts a request that was served with the artifact. */
   countServed(artifact: string): void {
     const count = this.servedCount.get(artifact) ?? 0;
     this.servedCount.set(artifact, count + 1);
   }
 
+  /** Creates a digest of the current load with the next sequence number. */
   digest(): LoadDigest {
     const {ledger, queue, incarnation, isLeaving} = this.options;
     return {
--- a/packages/banyanfold-agent/src/control/prefixTracker.ts
+++ b/packages/banyanfold-agent/src/control/prefixTracker.ts
@@ -48,6 +48,7 @@
     return hadGap;
   }
 
+  /** Returns the hashes of the prefixes, the most recently used first. */
   newestFirst(): string[] {
     return [...this.prefixes].reverse();
   }
--- a/packages/banyanfold-agent/src/memory/allocation.ts
+++ b/packages/banyanfold-agent/src/memory/allocation.ts
@@ -50,7 +50,7 @@
 export type ReserveRefusal =
   'no-report' | 'quarantine' | 'no-memory' | 'releasing';
 
-/** A change of one allocation in the ledger, for logs and metrics. */
+/** A change of one allocation, or an engine restart, for logs and metrics. */
 export interface LedgerEvent {
   kind:
     | 'adopted'
@@ -97,9 +97,9 @@
   engineNowMs: number,
   nowMs: number,
 ): void {
-  const isDoubt = allocation.state === 'in-doubt';
-  allocation.conclusiveAfterMs = isDoubt ? undefined : engineNowMs;
-  if (isDoubt) allocation.loadSentAtMs = nowMs;
+  const isInDoubt = allocation.state === 'in-doubt';
+  allocation.conclusiveAfterMs = isInDoubt ? undefined : engineNowMs;
+  if (isInDoubt) allocation.loadSentAtMs = nowMs;
   if (allocation.unloadVisibleAfterMs !== undefined) {
     allocation.unloadVisibleAfterMs = engineNowMs;
   }
--- a/packages/banyanfold-agent/src/memory/allocationTable.ts
+++ b/packages/banyanfold-agent/src/memory/allocationTable.ts
@@ -3,7 +3,7 @@
 /**
  * Returns the id of an adapter's base model, or the id itself for a model.
  *
- * @example modelOf('claims@3+suva@1') // 'claims@3'
+ * @example baseModelOf('claims@3+suva@1') // 'claims@3'
  */
 export function baseModelOf(artifact: string): string {
   return artifact.split('+')[0] ?? artifact;
--- a/packages/banyanfold-agent/src/memory/kvAccount.ts
+++ b/packages/banyanfold-agent/src/memory/kvAccount.ts
@@ -40,8 +40,9 @@
   /**
    * Uses the reported KV cache as the upper bound of inherited use. For a while
    * this counts this process's first requests twice, which errs on the safe
-   * side. The bound only starts to decrease once the inventory is complete,
-   * because a stale report may lack the last requests of the previous process.
+   * side. Until the inventory is complete, a stale report may lack the last
+   * requests of the previous process, so the bound follows each report. From
+   * then on it only decreases.
    */
   observe({kvUsedBytes}: LedgerReport, {isComplete}: {isComplete: boolean}) {
     if (!isComplete || !this.wasComplete) this.inheritedBytes = kvUsedBytes;
--- a/packages/banyanfold-agent/src/memory/memoryLedger.ts
+++ b/packages/banyanfold-agent/src/memory/memoryLedger.ts
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Records that the engine accepted an order with a higher fencing token than
-   * that of the orders in doubt, which it rejects from then on.
+   * Records that the engine accepted an order with a higher fencing token. From
+   * then on it rejects the load orders that are in doubt.
    *
    * @param visibleAfterMs Engine clock: reports taken later reflect all earlier
    *     orders.
--- a/packages/banyanfold-agent/src/memory/reconcileReport.ts
+++ b/packages/banyanfold-agent/src/memory/reconcileReport.ts
@@ -22,6 +22,7 @@
   createCopyId(artifact: string): string;
 }
 
+/** The state of an adopted copy's allocation, by its state in the report. */
 const ADOPTED_STATES: Record<EngineState, AllocationState> = {
   loading: 'reserved',
   loaded: 'held',
