--- a/packages/banyanfold-agent/src/__tests__/simulatedEngine.ts
+++ b/packages/banyanfold-agent/src/__tests__/simulatedEngine.ts
@@ -73,11 +73,11 @@
 
   /** Returns the report of `reportLagMs` ago with the current engine time. */
   async report() {
-    const askedAtMs = this.options.clock.nowMs();
+    const sentAtMs = this.options.clock.nowMs();
     const atMs = this.nowMs() - this.reportLagMs;
     const past = this.history.findLast(({takenAtMs}) => takenAtMs <= atMs);
     const report = {...(past ?? this.history[0]!), takenAtMs: atMs};
-    return ok({report, timing: {askedAtMs, engineNowMs: this.nowMs()}});
+    return ok({report, timing: {sentAtMs, engineNowMs: this.nowMs()}});
   }
 
   async order(order: EngineOrder): Promise<OrderResult> {
--- a/packages/banyanfold-agent/src/agentContext.ts
+++ b/packages/banyanfold-agent/src/agentContext.ts
@@ -7,11 +7,11 @@
 import type {AttemptContext} from './attempts/attemptContext.js';
 import type {AttemptSealer} from './attempts/attemptSealer.js';
 import type {AttemptServer} from './attempts/attemptServer.js';
-import type {EngineWatch} from './control/engineWatch.js';
+import type {EngineMonitor} from './control/engineMonitor.js';
 import type {LoadReporter} from './control/loadReporter.js';
 import type {PrefixTracker} from './control/prefixTracker.js';
 import type {ProposalHandler} from './control/proposalHandler.js';
-import type {RunnerRole} from './control/runnerRole.js';
+import type {RunnerRoleState} from './control/runnerRoleState.js';
 import type {AdmissionQueue} from './attempts/admissionQueue.js';
 import type {AttemptRegistry} from './attempts/attemptRegistry.js';
 import type {EngineClient} from './engine/engineClient.js';
@@ -20,61 +20,62 @@
 import type {MemoryLedger} from './memory/memoryLedger.js';
 import type {AgentSettings} from './settings.js';
 
-/** What all parts of an agent are built from. */
-export interface AgentBasis extends PluginContext {
+/** Settings and services that all parts of an agent depend on. */
+export interface AgentDependencies extends PluginContext {
   settings: AgentSettings;
   log: LogService;
   random: () => number;
 }
 
-/** Whether the agent leaves; once it does, it does so for good. */
-export interface Leaving {
+/** Whether the agent is shutting down. Once set, the flag is never cleared. */
+export interface LeavingFlag {
   isLeaving(): boolean;
-  setLeaving(): void;
+  markLeaving(): void;
 }
 
-/** The engine, its memory, and the right to give it orders. */
-export interface MemoryParts {
+/** The parts that manage the engine, its memory and the orders sent to it. */
+export interface EngineParts {
   fence: FencingTokenManager;
   engine: EngineClient;
   ledger: MemoryLedger;
   orders: OrderSender;
+  /** Creates a unique id for an order about an artifact. */
   nextOrderId(artifact: string): string;
 }
 
-/** What waits and what runs. */
+/** The parts that queue, admit and track attempts. */
 export interface AdmissionParts {
   queue: AdmissionQueue;
   registry: AttemptRegistry;
 }
 
-/** What planners and entries are told, and what they may ask for. */
+/** The parts that follow engine and log, report load and handle proposals. */
 export interface ControlParts {
   prefixes: PrefixTracker;
-  role: RunnerRole;
+  role: RunnerRoleState;
   config: ConfigFollower;
   retirements: Retirements;
   reporter: LoadReporter;
-  watch: EngineWatch;
+  engineMonitor: EngineMonitor;
   proposals: ProposalHandler;
 }
 
-/** The way of a request. */
-export interface DataParts {
+/** The parts that serve requests. */
+export interface DataPathParts {
   attemptContext: AttemptContext;
   attempts: AttemptServer;
   seals: AttemptSealer;
-  /** Ends what still goes on in the background. */
+  /** Stops background work and closes the connections to the engine. */
   close(): Promise<void>;
 }
 
-/** What the parts of an agent share. */
-export type AgentContext = AgentBasis &
-  Leaving &
-  MemoryParts &
+/** All parts of an agent. */
+export type AgentContext = AgentDependencies &
+  LeavingFlag &
+  EngineParts &
   AdmissionParts &
   ControlParts &
-  DataParts;
+  DataPathParts;
 
-/** Plug-ins of agents, by name. */
+/** The registry of agent plug-ins by name. */
 export const agentPlugins = new PluginRegistry<AgentContext, Plugin>();
--- a/packages/banyanfold-agent/src/control/configView.ts
+++ b/packages/banyanfold-agent/src/control/configView.ts
@@ -1,24 +1,30 @@
 import {compileConfig, type ConfigState} from '@banyanfold/config';
-import {modelOf} from '../memory/allocationTable.js';
+import {baseModelOf} from '../memory/allocationTable.js';
 
-/** What the configuration in force says of a model's KV cache. */
-export function kvBytesPerTokenOf(
+/**
+ * Returns the configured KV cache bytes per token of an artifact's base model,
+ * or undefined if the configuration is unknown or sets none.
+ */
+export function findKvBytesPerToken(
   state: ConfigState | undefined,
   artifact: string,
 ): number | undefined {
-  const wanted = modelOf(artifact);
+  const modelId = baseModelOf(artifact);
   const model = state?.body.models.find(
-    ({name, version}) => `${name}@${version}` === wanted,
+    ({name, version}) => `${name}@${version}` === modelId,
   );
   return model?.kvBytesPerToken;
 }
 
-/** Whether a known configuration has no selector that reaches the artifact. */
+/**
+ * Whether the configuration is known and none of its selectors matches the
+ * artifact.
+ */
 export function isUnpublished(
   state: ConfigState | undefined,
   artifact: string,
 ): boolean {
   if (!state) return false;
-  const labelled = compileConfig(state.body).artifacts();
-  return !labelled.some(known => known.artifact === artifact);
+  const selectable = compileConfig(state.body).artifacts();
+  return !selectable.some(entry => entry.artifact === artifact);
 }
--- a/packages/banyanfold-agent/src/control/engineWatch.ts
+++ b/packages/banyanfold-agent/src/control/engineMonitor.ts
@@ -7,11 +7,14 @@
 import type {LedgerEvent} from '../memory/allocation.js';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
 
-/** While the log is out, new numbers are asked for no more often. */
+/**
+ * The longest backoff between barriers. During a log outage it limits the
+ * requests for new fencing tokens.
+ */
 const BARRIER_RETRY_CAP_MS = 5_000;
 
-/** What an engine watch works with. */
-export interface EngineWatchOptions {
+/** Options of {@link EngineMonitor}. */
+export interface EngineMonitorOptions {
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
@@ -21,28 +24,31 @@
   orders: OrderSender;
   fence: FencingTokenManager;
   intervalMs: number;
-  /** The role to repeat in a barrier, which must change nothing. */
+  /** The current role. A barrier sets it again and so has no other effect. */
   runnerRole(): string;
   nextOrderId(artifact: string): string;
   onReport(report: EngineReport): void;
 }
 
-/** Reads the engine's reports, one at a time, and feeds the ledger. */
-export class EngineWatch {
+/**
+ * Polls the engine's reports, one request at a time, and updates the ledger.
+ * Sends a barrier order when the ledger needs one.
+ */
+export class EngineMonitor {
   private timer: Timer | undefined;
   private stopped = false;
-  private barrierOpen = false;
-  private barrierFencing = 0;
-  private barrierNotBeforeMs = 0;
-  private isOut = false;
+  private isBarrierInFlight = false;
+  private lastBarrierFencing = 0;
+  private nextBarrierAtMs = 0;
+  private readFailed = false;
   private readonly backoff: Backoff;
 
-  constructor(private readonly options: EngineWatchOptions) {
+  constructor(private readonly options: EngineMonitorOptions) {
     const {random} = options;
     this.backoff = new Backoff({capMs: BARRIER_RETRY_CAP_MS, random});
   }
 
-  /** Reads once, then at each interval. */
+  /** Reads a report and resolves; later reports are read at each interval. */
   async start(): Promise<void> {
     await this.poll();
   }
@@ -54,7 +60,7 @@
 
   private async poll(): Promise<void> {
     await this.readReport();
-    void this.passBarrier();
+    void this.sendBarrierIfNeeded();
     if (this.stopped) return;
     const {clock, intervalMs} = this.options;
     this.timer = clock.setTimer(intervalMs, () => void this.poll());
@@ -66,19 +72,19 @@
     if (answer.isErr()) {
       const {code, step, peer} = answer.error;
       metrics.count('agent_engine_report_failures_total');
-      // Once an outage, not four times a second.
-      if (!this.isOut) logger.warn('report-failed', {code, step, peer});
-      this.isOut = true;
+      // Log once per outage rather than four times a second.
+      if (!this.readFailed) logger.warn('report-failed', {code, step, peer});
+      this.readFailed = true;
       return;
     }
-    this.isOut = false;
+    this.readFailed = false;
     const {report, timing} = answer.value;
     const events = ledger.observe(report, timing);
-    for (const event of events) this.note(event, report.takenAtMs);
+    for (const event of events) this.recordLedgerEvent(event, report.takenAtMs);
     onReport(report);
   }
 
-  private note(event: LedgerEvent, takenAtMs: number): void {
+  private recordLedgerEvent(event: LedgerEvent, takenAtMs: number): void {
     const {logger, metrics, orders, nextOrderId} = this.options;
     const {kind, artifact, copyId} = event;
     metrics.count('agent_ledger_events_total', {kind});
@@ -88,33 +94,40 @@
   }
 
   /**
-   * Ends what earlier fencing numbers may still bring: at the start what a
-   * predecessor sent, later the load orders of our own that are in doubt. The
-   * latter bear our number, so a higher one is taken for it.
+   * Makes the engine reject orders with earlier fencing tokens: after the start
+   * those of the previous agent process, later this agent's own load orders
+   * that are in doubt. The latter carry the current token, so the barrier needs
+   * a higher one.
    */
-  private async passBarrier(): Promise<void> {
+  private async sendBarrierIfNeeded(): Promise<void> {
     const {clock, ledger, fence} = this.options;
-    if (this.barrierOpen || !ledger.needsBarrier()) return;
+    if (this.isBarrierInFlight || !ledger.needsBarrier()) return;
     if (fence.current() === undefined) return;
-    if (clock.nowMs() < this.barrierNotBeforeMs) return;
-    this.barrierOpen = true;
-    const doubtful = ledger.doubts().map(({copyId}) => copyId);
-    const visibleAfterMs = await this.sendBarrier(doubtful.length > 0);
-    this.barrierOpen = false;
+    if (clock.nowMs() < this.nextBarrierAtMs) return;
+    this.isBarrierInFlight = true;
+    const inDoubtCopyIds = ledger.loadsInDoubt().map(({copyId}) => copyId);
+    const visibleAfterMs = await this.sendBarrier(inDoubtCopyIds.length > 0);
+    this.isBarrierInFlight = false;
     if (visibleAfterMs !== undefined) {
-      ledger.barrierPassed(visibleAfterMs, doubtful);
+      ledger.noteBarrierAccepted(visibleAfterMs, inDoubtCopyIds);
       this.backoff.reset();
       return;
     }
-    this.barrierNotBeforeMs = clock.nowMs() + this.backoff.nextDelayMs();
+    this.nextBarrierAtMs = clock.nowMs() + this.backoff.nextDelayMs();
   }
 
-  /** @returns when reports show it, on the engine's clock, or undefined. */
-  private async sendBarrier(hasDoubts: boolean): Promise<number | undefined> {
+  /**
+   * @returns the time on the engine's clock after which reports reflect the
+   *     barrier, or undefined if the engine did not confirm it.
+   */
+  private async sendBarrier(
+    hasLoadsInDoubt: boolean,
+  ): Promise<number | undefined> {
     const {fence, orders, runnerRole, nextOrderId} = this.options;
-    const needsNumber = hasDoubts && this.barrierFencing === fence.current();
-    if (needsNumber && !(await fence.tryAcquire())) return undefined;
-    this.barrierFencing = fence.current() ?? 0;
+    const needsNewFencing =
+      hasLoadsInDoubt && this.lastBarrierFencing === fence.current();
+    if (needsNewFencing && !(await fence.tryAcquire())) return undefined;
+    this.lastBarrierFencing = fence.current() ?? 0;
     return orders.setRole(runnerRole(), nextOrderId('barrier'));
   }
 }
--- a/packages/banyanfold-agent/src/control/loadReporter.ts
+++ b/packages/banyanfold-agent/src/control/loadReporter.ts
@@ -13,7 +13,7 @@
 import type {AgentSettings} from '../settings.js';
 import type {PrefixTracker} from './prefixTracker.js';
 
-/** Where a reporter reads. */
+/** Options of {@link LoadReporter}. */
 export interface LoadReporterOptions {
   settings: AgentSettings;
   clock: Clock;
@@ -26,7 +26,7 @@
   runnerRole(): string;
 }
 
-/** Makes the digests and reports that entries decide by. */
+/** Creates the load digests and reports that entries base decisions on. */
 export class LoadReporter {
   private sequence = 0;
   private readonly history = new ReportHistory();
@@ -34,11 +34,13 @@
 
   constructor(private readonly options: LoadReporterOptions) {}
 
-  noteServed(artifact: string): void {
+  /** Counts a request that was served with the artifact. */
+  countServed(artifact: string): void {
     const count = this.servedCount.get(artifact) ?? 0;
     this.servedCount.set(artifact, count + 1);
   }
 
+  /** Creates a digest of the current load with the next sequence number. */
   digest(): LoadDigest {
     const {ledger, queue, incarnation, isLeaving} = this.options;
     return {
@@ -49,25 +51,29 @@
       kvUsedBytes: ledger.budget.kvUsedBytes(),
       kvCapacityBytes: ledger.budget.kvCapacityBytes(),
       queueDelayMs: queue.queueDelayMs(),
-      // Until the use by a predecessor's requests is known, none is admitted: an
-      // entry that sent some here would have them refused for want of memory.
-      leaving: isLeaving() || !ledger.isFresh(),
+      // No request is admitted until the KV cache use by the previous process's
+      // requests is known. Requests sent here before would be refused for lack
+      // of memory.
+      leaving: isLeaving() || !ledger.isKvUseKnown(),
     };
   }
 
-  /** Whole, or what changed since the report that the caller holds. */
+  /** Returns the changes since the caller's report, or the complete report. */
   reportSince(cursor: ReportCursor | undefined): AgentReport | ReportChanges {
-    return this.history.answer(this.makeReport(), cursor);
+    return this.history.answer(this.createReport(), cursor);
   }
 
-  /** Observed as well: its reader may name it as the one that it holds. */
+  /**
+   * Returns the complete report and records it, since the caller may later
+   * request the changes since it.
+   */
   report(): AgentReport {
-    const report = this.makeReport();
+    const report = this.createReport();
     this.history.observe(report);
     return report;
   }
 
-  private makeReport(): AgentReport {
+  private createReport(): AgentReport {
     const {settings, ledger, prefixes, configVersion, runnerRole} =
       this.options;
     return {
@@ -88,12 +94,13 @@
     };
   }
 
-  /** A copy that drains for its retirement must get no new requests. */
+  /** A retiring copy is reported as releasing, so it gets no new requests. */
   private toCopy(allocation: Allocation): Copy {
-    const {artifact, bytes, state, copyId, users, lastUsedMs} = allocation;
-    const unusedMs = this.options.clock.nowMs() - lastUsedMs;
-    const idleMs = users > 0 ? 0 : Math.round(unusedMs);
-    const shownState = allocation.retiring ? 'releasing' : state;
-    return {artifact, bytes, state: shownState, copyId, idleMs};
+    const {artifact, bytes, state, copyId, activeRequests, lastUsedAtMs} =
+      allocation;
+    const unusedMs = this.options.clock.nowMs() - lastUsedAtMs;
+    const idleMs = activeRequests > 0 ? 0 : Math.round(unusedMs);
+    const reportedState = allocation.isRetiring ? 'releasing' : state;
+    return {artifact, bytes, state: reportedState, copyId, idleMs};
   }
 }
--- a/packages/banyanfold-agent/src/control/proposalHandler.ts
+++ b/packages/banyanfold-agent/src/control/proposalHandler.ts
@@ -3,15 +3,15 @@
 import type {Proposal, ProposalResult} from '@banyanfold/protocol';
 import type {OrderSender} from '../engine/orderSender.js';
 import type {Allocation} from '../memory/allocation.js';
-import {modelOf} from '../memory/allocationTable.js';
+import {baseModelOf} from '../memory/allocationTable.js';
 import type {MemoryLedger} from '../memory/memoryLedger.js';
 
-const MAX_REMEMBERED = 1_024;
+const MAX_REMEMBERED_RESULTS = 1_024;
 const DRAIN_POLL_MS = 20;
-const LOST_VERDICT_MS = 300_000;
+const LOST_VERDICT_WATCH_MS = 300_000;
 const LOST_VERDICT_POLL_MS = 500;
 
-/** What a proposal handler works with. */
+/** Options of {@link ProposalHandler}. */
 export interface ProposalHandlerOptions {
   clock: Clock;
   logger: Logger;
@@ -20,26 +20,32 @@
   orders: OrderSender;
   retirements: Pick<Retirements, 'retireCopy' | 'isRetired'>;
   inheritedRetireHoldMs: number;
-  /** Whether the configuration, read to its end now, has it no more. */
+  /** Whether the configuration, read up to date, no longer has the artifact. */
   isUnpublished(artifact: string): Promise<boolean>;
   hasFence(): boolean;
   isLeaving(): boolean;
   nextOrderId(artifact: string): string;
-  /** The engine took the role, at this time of its clock. */
+  /**
+   * Records the role that the engine confirmed.
+   *
+   * @param setAtMs Engine clock: reports taken later reflect the role.
+   */
   setRunnerRole(role: string, setAtMs: number): void;
 }
 
 /**
- * Judges what a planner proposes. Proposals are only that: the ledger, the
- * fence and the log decide here, so two planners at once, or one that was
- * paused, cost moves and never memory or the last copy.
+ * Accepts or refuses the proposals of planners.
+ *
+ * The ledger, the fencing token and the log decide here. Two concurrent
+ * planners, or one that was paused, can therefore cause needless moves, but
+ * they can't overcommit memory or remove the last copy.
  */
 export class ProposalHandler {
-  private highestEpoch = 0;
+  private highestPlannerEpoch = 0;
   private stopped = false;
-  /** Artifacts whose retirement the log judges now. */
-  private readonly judged = new Set<string>();
-  /** Results by proposal id, so that a repeated proposal has one effect. */
+  /** Artifacts whose retirement the log has yet to decide. */
+  private readonly undecided = new Set<string>();
+  /** Results by proposal id, which make repeated proposals idempotent. */
   private readonly results = new Map<string, Promise<ProposalResult>>();
   private readonly handlers: Record<
     Proposal['kind'],
@@ -56,21 +62,25 @@
     this.stopped = true;
   }
 
-  /** @example await handler.propose(proposal) // {accepted: true, …} */
+  /**
+   * Handles a proposal; a repeated proposal gets the result of the first.
+   *
+   * @example await handler.propose(proposal) // {accepted: true, …}
+   */
   propose(proposal: Proposal): Promise<ProposalResult> {
-    const known = this.results.get(proposal.proposalId);
-    if (known) return known;
-    const result = this.judge(proposal);
+    const earlier = this.results.get(proposal.proposalId);
+    if (earlier) return earlier;
+    const result = this.handleAndRecord(proposal);
     this.results.set(proposal.proposalId, result);
     for (const oldest of this.results.keys()) {
-      if (this.results.size <= MAX_REMEMBERED) break;
+      if (this.results.size <= MAX_REMEMBERED_RESULTS) break;
       this.results.delete(oldest);
     }
     return result;
   }
 
-  private async judge(proposal: Proposal): Promise<ProposalResult> {
-    const result = await this.checkAndHandle(proposal);
+  private async handleAndRecord(proposal: Proposal): Promise<ProposalResult> {
+    const result = await this.validateAndHandle(proposal);
     const {logger, metrics} = this.options;
     const {kind, reason} = {kind: proposal.kind, reason: result.reason};
     metrics.count('agent_proposals_total', {kind, reason});
@@ -85,11 +95,11 @@
     return result;
   }
 
-  private async checkAndHandle(proposal: Proposal): Promise<ProposalResult> {
-    if (proposal.plannerEpoch < this.highestEpoch) {
+  private async validateAndHandle(proposal: Proposal): Promise<ProposalResult> {
+    if (proposal.plannerEpoch < this.highestPlannerEpoch) {
       return refused('old-planner');
     }
-    this.highestEpoch = proposal.plannerEpoch;
+    this.highestPlannerEpoch = proposal.plannerEpoch;
     if (this.options.isLeaving()) return refused('leaving');
     if (!this.options.hasFence()) return refused('no-fence');
     return this.handlers[proposal.kind](proposal);
@@ -98,8 +108,8 @@
   private async load({artifact, bytes}: Proposal): Promise<ProposalResult> {
     const {ledger, orders, nextOrderId} = this.options;
     if (!artifact || bytes <= 0) return refused('bad-proposal');
-    const model = modelOf(artifact);
-    const hasModel = ledger.canServe(model) && !this.judged.has(model);
+    const model = baseModelOf(artifact);
+    const hasModel = ledger.canServe(model) && !this.undecided.has(model);
     if (model !== artifact && !hasModel) return refused('no-model');
     const orderId = nextOrderId(artifact);
     const reserved = ledger.reserveLoad({artifact, bytes, orderId});
@@ -113,25 +123,26 @@
     const {ledger} = this.options;
     const allocation = ledger.get(proposal.artifact);
     if (!allocation || allocation.state !== 'held') return refused('not-held');
-    if (allocation.retiring) return accepted('retiring');
+    if (allocation.isRetiring) return accepted('retiring');
     if (this.hasAdapters(proposal.artifact)) return refused('adapters-held');
-    if (this.isHeldBack(allocation)) return refused('inherited-too-new');
-    if (this.judged.has(proposal.artifact)) return refused('in-judgement');
-    // An adapter loaded while the log judges would outlive its model.
-    this.judged.add(proposal.artifact);
-    const result = await this.askLog(proposal, allocation);
-    this.judged.delete(proposal.artifact);
+    if (this.isInRetireHold(allocation)) return refused('inherited-too-new');
+    if (this.undecided.has(proposal.artifact)) return refused('in-judgement');
+    // Refuse loads of adapters until the log has decided; such an adapter would
+    // stay loaded without its model.
+    this.undecided.add(proposal.artifact);
+    const result = await this.requestRetirement(proposal, allocation);
+    this.undecided.delete(proposal.artifact);
     return result;
   }
 
-  private async askLog(
+  private async requestRetirement(
     proposal: Proposal,
     allocation: Allocation,
   ): Promise<ProposalResult> {
     const {retirements} = this.options;
     const {artifact, reliesOnCopyIds, viewedAtMs} = proposal;
-    // A planner that was paused between its view and this proposal may rely on
-    // copies that were retired and forgotten since; the log judges the age.
+    // A planner that was paused after it read the state may rely on copies that
+    // were since retired and removed from the log, so the log checks the age.
     if (viewedAtMs === undefined) return refused('no-view-time');
     const verdict = await retirements.retireCopy({
       copyId: allocation.copyId,
@@ -141,32 +152,33 @@
       isUnpublished: await this.isUnpublished(proposal),
     });
     if (verdict.isErr()) {
-      void this.awaitLostVerdict(allocation);
+      void this.watchForLostVerdict(allocation);
       return refused(verdict.error.code);
     }
     if (verdict.value.kind === 'void') return refused(verdict.value.why);
-    this.beginRetiring(allocation);
+    this.startRetiring(allocation);
     return accepted('retiring');
   }
 
-  private beginRetiring(allocation: Allocation): void {
-    if (allocation.retiring) return;
-    allocation.retiring = true;
+  private startRetiring(allocation: Allocation): void {
+    if (allocation.isRetiring) return;
+    allocation.isRetiring = true;
     void this.unloadWhenUnused(allocation);
   }
 
   /**
-   * The record may be in the log although its answer was lost. Then the copy
-   * counts as retired for others, and each new proposal for it is void: its
-   * memory would stay taken. So the log is watched for a while, much shorter
-   * than it remembers a retirement.
+   * Polls the log for a retirement whose answer was lost.
+   *
+   * If the log holds the record, other agents treat the copy as retired and
+   * every further proposal for it is void, so its memory would never be freed.
+   * The wait is much shorter than the time that the log keeps retirements.
    */
-  private async awaitLostVerdict(allocation: Allocation): Promise<void> {
+  private async watchForLostVerdict(allocation: Allocation): Promise<void> {
     const {clock, retirements} = this.options;
-    const endMs = clock.nowMs() + LOST_VERDICT_MS;
+    const endMs = clock.nowMs() + LOST_VERDICT_WATCH_MS;
     while (!this.stopped && clock.nowMs() < endMs) {
       if (retirements.isRetired(allocation.copyId)) {
-        this.beginRetiring(allocation);
+        this.startRetiring(allocation);
         return;
       }
       await sleep(clock, LOST_VERDICT_POLL_MS);
@@ -184,38 +196,48 @@
   private hasAdapters(model: string): boolean {
     return this.options.ledger
       .all()
-      .some(({artifact}) => artifact !== model && modelOf(artifact) === model);
+      .some(
+        ({artifact}) => artifact !== model && baseModelOf(artifact) === model,
+      );
   }
 
   /**
-   * Others may still rely on an inherited copy under the id its earlier
-   * process gave it, and a record here under the new id would not void theirs:
-   * both copies would go. Their proposals are over after the hold.
+   * Whether an inherited copy is too new to retire.
+   *
+   * Other agents' retirements may still rely on the copy under the id that the
+   * previous process gave it. A retirement under the new id would not void
+   * theirs, and both copies would be unloaded. After the hold no such proposal
+   * is still pending.
    */
-  private isHeldBack({isInherited, knownSinceMs}: Allocation): boolean {
+  private isInRetireHold({isInherited, firstKnownAtMs}: Allocation): boolean {
     const {clock, inheritedRetireHoldMs} = this.options;
-    return isInherited && clock.nowMs() - knownSinceMs < inheritedRetireHoldMs;
+    return (
+      isInherited && clock.nowMs() - firstKnownAtMs < inheritedRetireHoldMs
+    );
   }
 
   /**
-   * The sole copy of a version that operators took back would keep its memory
-   * for ever, and the third version would find no room. The log is asked, and
-   * not what was read before: an operator may have published it again.
+   * Whether the last copy of an artifact may be retired.
+   *
+   * If the only copy of an unpublished version could not be retired, it would
+   * occupy its memory forever and leave no space for a third version. The
+   * configuration is read from the log again, because an operator may have
+   * republished the version.
    */
   private async isUnpublished(proposal: Proposal): Promise<boolean> {
     if (proposal.reliesOnCopyIds.length > 0) return false;
     return this.options.isUnpublished(proposal.artifact);
   }
 
-  /** Requests that run on the copy, or were admitted to it, end first. */
+  /** Unloads a copy once all requests admitted to it have ended. */
   private async unloadWhenUnused(allocation: Allocation): Promise<void> {
     const {clock, ledger, orders, nextOrderId} = this.options;
-    while (allocation.users > 0) {
+    while (allocation.activeRequests > 0) {
       if (this.stopped) return;
       await sleep(clock, DRAIN_POLL_MS);
     }
     const {artifact} = allocation;
-    // It may have vanished and been loaded anew, which nobody retired.
+    // The copy may have been lost and loaded again; the new one isn't retired.
     if (ledger.get(artifact) !== allocation) return;
     await orders.unload(artifact, () => nextOrderId(artifact));
   }
--- a/packages/banyanfold-agent/src/engine/engineClient.ts
+++ b/packages/banyanfold-agent/src/engine/engineClient.ts
@@ -101,11 +101,11 @@
   async report(): Promise<
     Result<{report: EngineReport; timing: ReportTiming}, BanyanfoldError>
   > {
-    const askedAtMs = this.options.clock.nowMs();
+    const sentAtMs = this.options.clock.nowMs();
     const result = await this.getJson('/report', engineReportSchema);
     return result.andThen(({value, engineNowMs}) => {
       if (Number.isFinite(engineNowMs)) {
-        return ok({report: value, timing: {askedAtMs, engineNowMs}});
+        return ok({report: value, timing: {sentAtMs, engineNowMs}});
       }
       const cause = `no ${ENGINE_NOW_HEADER}: the report's age is unknown`;
       return err(this.toError('bad-answer', 'read-report', cause));
--- a/packages/banyanfold-agent/src/engine/orderSender.ts
+++ b/packages/banyanfold-agent/src/engine/orderSender.ts
@@ -64,14 +64,14 @@
     const {ledger} = this.options;
     const order = this.newOrder({orderId, kind: 'load', artifact, bytes});
     const sent = await this.transmit(order, MAX_LOAD_TRANSMISSIONS, {
-      beforeSend: () => ledger.loadSent(orderId),
+      beforeSend: () => ledger.noteLoadSent(orderId),
     });
     if (sent.result?.kind === 'accepted') {
-      ledger.loadReceived(orderId, sent.result.visibleAfterMs);
+      ledger.noteLoadAccepted(orderId, sent.result.visibleAfterMs);
       return;
     }
-    if (sent.mayHaveArrived) ledger.loadInDoubt(orderId);
-    else ledger.loadNeverSent(orderId);
+    if (sent.mayHaveArrived) ledger.noteLoadInDoubt(orderId);
+    else ledger.noteLoadNeverSent(orderId);
     this.options.logger.warn('load-order-open', {
       artifact,
       order: orderId,
@@ -98,7 +98,7 @@
         isStillNeeded,
       });
       if (sent.result?.kind === 'accepted') {
-        ledger.unloadReceived(orderId, sent.result.visibleAfterMs);
+        ledger.noteUnloadAccepted(orderId, sent.result.visibleAfterMs);
         return;
       }
       await sleep(clock, MAX_RESEND_DELAY_MS);
--- a/packages/banyanfold-agent/src/memory/allocationTable.ts
+++ b/packages/banyanfold-agent/src/memory/allocationTable.ts
@@ -1,15 +1,15 @@
 import type {Allocation} from './allocation.js';
 
 /**
- * The model of an artifact; a model is its own.
+ * Returns the id of an adapter's base model, or the id itself for a model.
  *
- * @example modelOf('claims@3+suva@1') // 'claims@3'
+ * @example baseModelOf('claims@3+suva@1') // 'claims@3'
  */
-export function modelOf(artifact: string): string {
+export function baseModelOf(artifact: string): string {
   return artifact.split('+')[0] ?? artifact;
 }
 
-/** The allocations of one engine, by artifact. */
+/** The allocations of one engine, indexed by artifact. */
 export class AllocationTable {
   private readonly allocations = new Map<string, Allocation>();
 
@@ -29,19 +29,22 @@
     return [...this.allocations.values()];
   }
 
-  byCopy(copyId: string): Allocation | undefined {
+  findByCopyId(copyId: string): Allocation | undefined {
     return this.all().find(allocation => allocation.copyId === copyId);
   }
 
-  byUnloadOrder(orderId: string): Allocation | undefined {
+  findByUnloadOrderId(orderId: string): Allocation | undefined {
     return this.all().find(({unloadOrderId}) => unloadOrderId === orderId);
   }
 
-  /** Copies whose load order may or may not still arrive. */
-  doubts(): Allocation[] {
+  /**
+   * Returns the allocations whose load order may still reach the engine, and
+   * for which no report can yet prove that it won't.
+   */
+  loadsInDoubt(): Allocation[] {
     return this.all().filter(
-      ({state, provenAfterMs}) =>
-        state === 'in-doubt' && provenAfterMs === undefined,
+      ({state, conclusiveAfterMs}) =>
+        state === 'in-doubt' && conclusiveAfterMs === undefined,
     );
   }
 
@@ -51,25 +54,30 @@
     return total;
   }
 
+  /** Whether the artifact, and an adapter's base model, accept requests. */
   canServe(artifact: string): boolean {
-    return neededArtifacts(artifact).every(needed => {
+    return requiredArtifacts(artifact).every(needed => {
       const allocation = this.allocations.get(needed);
-      return allocation?.state === 'held' && !allocation.retiring;
+      return allocation?.state === 'held' && !allocation.isRetiring;
     });
   }
 
-  countUse(artifact: string, change: 1 | -1, nowMs: number): void {
-    for (const needed of neededArtifacts(artifact)) {
+  /** Adds to the active requests of an artifact and of its base model. */
+  updateUse(artifact: string, change: 1 | -1, nowMs: number): void {
+    for (const needed of requiredArtifacts(artifact)) {
       const allocation = this.allocations.get(needed);
       if (!allocation) continue;
-      allocation.users = Math.max(0, allocation.users + change);
-      allocation.lastUsedMs = nowMs;
+      allocation.activeRequests = Math.max(
+        0,
+        allocation.activeRequests + change,
+      );
+      allocation.lastUsedAtMs = nowMs;
     }
   }
 }
 
-/** An adapter needs its model too. */
-function neededArtifacts(artifact: string): string[] {
-  const model = modelOf(artifact);
+/** Returns the artifact and, for an adapter, its base model. */
+function requiredArtifacts(artifact: string): string[] {
+  const model = baseModelOf(artifact);
   return model === artifact ? [artifact] : [artifact, model];
 }
--- a/packages/banyanfold-agent/src/memory/memoryLedger.ts
+++ b/packages/banyanfold-agent/src/memory/memoryLedger.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@banyanfold/core';
 import {err, ok, type Result} from 'neverthrow';
 import {
-  forgetEngineTimes,
+  resetEngineTimes,
   type Allocation,
   type LedgerEvent,
   type LedgerReport,
@@ -9,14 +9,14 @@
   type ReserveRefusal,
 } from './allocation.js';
 import {AllocationTable} from './allocationTable.js';
-import {judgeAbsent, judgeListed} from './judgeReport.js';
+import {reconcileAbsent, reconcileListed} from './reconcileReport.js';
 import {MemoryBudget, type KvPool} from './memoryBudget.js';
 import {Quarantine} from './quarantine.js';
 
-/** An engine clock that fell by more than this belongs to a new engine. */
+/** If the engine's clock falls by more than this, the engine has restarted. */
 const ENGINE_RESTART_STEP_MS = 1_000;
 
-/** How a ledger is built. */
+/** Options of {@link MemoryLedger}. */
 export interface MemoryLedgerOptions {
   clock: Clock;
   checksFencing: boolean;
@@ -24,24 +24,25 @@
   kvPool: KvPool;
   kvFloorShare: number;
   inheritedBoundMs: number;
-  /** Names a copy that a report lists and no order here made. */
-  nameCopy(artifact: string): string;
+  /** Creates an id for a reported copy that this process did not load. */
+  createCopyId(artifact: string): string;
 }
 
 /**
- * The only authority on one engine's accelerator memory.
+ * The sole authority on the allocation of one engine's accelerator memory.
  *
- * Bytes are reserved before an order leaves and freed only on evidence: a
- * report taken, by the engine's clock, after the order is known to have
- * arrived or to be dead. Reports lag and orders are late, so an older report
- * that lacks a copy says nothing about a load that is still under way.
+ * Bytes are reserved before an order is sent. They are freed only by a report
+ * that was taken, on the engine's clock, after the order is known to have
+ * arrived or to be unable to arrive. Reports are stale and orders are delayed,
+ * so an older report that doesn't list a copy proves nothing about a load that
+ * is still in flight.
  */
 export class MemoryLedger {
-  /** How much may still be promised. */
+  /** Computes how much memory can still be reserved. */
   readonly budget: MemoryBudget;
   private readonly table = new AllocationTable();
   private readonly quarantine: Quarantine;
-  private latest: LedgerReport | undefined;
+  private lastReport: LedgerReport | undefined;
   private lastEngineNowMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: MemoryLedgerOptions) {
@@ -50,12 +51,12 @@
     this.budget = new MemoryBudget({
       ...options,
       table: this.table,
-      inQuarantine: () => this.inQuarantine(),
-      isFresh: () => this.isFresh(),
+      isInQuarantine: () => this.isInQuarantine(),
+      isKvUseKnown: () => this.isKvUseKnown(),
     });
   }
 
-  /** The copy of an artifact, in whatever state it is. */
+  /** Returns the allocation of an artifact in any state. */
   get(artifact: string): Allocation | undefined {
     return this.table.get(artifact);
   }
@@ -65,72 +66,87 @@
   }
 
   hasReport(): boolean {
-    return this.latest !== undefined;
+    return this.lastReport !== undefined;
   }
 
-  /** Whether requests for an artifact can be served: it and its model. */
+  /** Whether the artifact, and an adapter's base model, accept requests. */
   canServe(artifact: string): boolean {
     return this.table.canServe(artifact);
   }
 
-  /** A request for the artifact is admitted: it isn't unloaded meanwhile. */
+  /** Counts an admitted request, which defers the unload of its artifact. */
   beginUse(artifact: string): void {
-    this.table.countUse(artifact, 1, this.nowMs());
+    this.table.updateUse(artifact, 1, this.nowMs());
   }
 
   endUse(artifact: string): void {
-    this.table.countUse(artifact, -1, this.nowMs());
+    this.table.updateUse(artifact, -1, this.nowMs());
   }
 
-  /** Whether orders of an earlier incarnation can still change the engine. */
-  inQuarantine(): boolean {
+  /** Whether orders of an earlier agent process can still reach the engine. */
+  isInQuarantine(): boolean {
     return !this.quarantine.isOver;
   }
 
-  /** Whether requests may be admitted: their predecessors' use is known. */
-  isFresh(): boolean {
-    return this.quarantine.isFresh;
+  /**
+   * Whether the KV cache use of requests from before the start is known. No
+   * requests are admitted before.
+   */
+  isKvUseKnown(): boolean {
+    return this.quarantine.isKvUseKnown;
   }
 
-  /** Whether an order under our fencing number is needed as a barrier. */
+  /**
+   * Whether a barrier is needed: an order with a newer fencing token, after
+   * which the engine rejects the earlier orders that are still in flight.
+   */
   needsBarrier(): boolean {
     if (!this.options.checksFencing) return false;
-    return this.quarantine.needsBarrier || this.doubts().length > 0;
+    return this.quarantine.needsBarrier || this.loadsInDoubt().length > 0;
   }
 
   /**
-   * The engine took an order under a fencing number that is higher than that
-   * of all orders in doubt: it refuses those from now on.
+   * Records that the engine accepted an order with a higher fencing token. From
+   * then on it rejects the load orders that are in doubt.
    *
-   * @param visibleAfterMs engine clock: later reports show all earlier orders.
+   * @param visibleAfterMs Engine clock: reports taken later reflect all earlier
+   *     orders.
+   * @param inDoubtCopyIds The loads that were in doubt when the barrier order
+   *     was sent.
    */
-  barrierPassed(visibleAfterMs: number, doubtful: readonly string[]): void {
+  noteBarrierAccepted(
+    visibleAfterMs: number,
+    inDoubtCopyIds: readonly string[],
+  ): void {
     if (!this.options.checksFencing) return;
-    this.quarantine.barrierPassed(visibleAfterMs);
-    for (const allocation of this.doubts()) {
-      if (!doubtful.includes(allocation.copyId)) continue;
-      allocation.provenAfterMs = visibleAfterMs;
+    this.quarantine.noteBarrierAccepted(visibleAfterMs);
+    for (const allocation of this.loadsInDoubt()) {
+      if (!inDoubtCopyIds.includes(allocation.copyId)) continue;
+      allocation.conclusiveAfterMs = visibleAfterMs;
     }
   }
 
-  /** Copies whose load order may or may not still arrive. */
-  doubts(): Allocation[] {
-    return this.table.doubts();
+  /** Returns the allocations whose load order may still reach the engine. */
+  loadsInDoubt(): Allocation[] {
+    return this.table.loadsInDoubt();
   }
 
-  /** Sets a copy's bytes aside, before its load order leaves. */
+  /**
+   * Reserves the bytes of a copy before its load order is sent. If the artifact
+   * already has an allocation, that one is returned.
+   */
   reserveLoad(order: {
     artifact: string;
     bytes: number;
     orderId: string;
   }): Result<Allocation, ReserveRefusal> {
-    const present = this.table.get(order.artifact);
-    if (present?.state === 'releasing' || present?.retiring) {
+    const existing = this.table.get(order.artifact);
+    if (existing?.state === 'releasing' || existing?.isRetiring) {
       return err('releasing');
     }
-    if (present) return ok(present);
-    if (!this.latest) return err('no-report');
-    if (this.inQuarantine()) return err('quarantine');
+    if (existing) return ok(existing);
+    if (!this.lastReport) return err('no-report');
+    if (this.isInQuarantine()) return err('quarantine');
     if (order.bytes > this.budget.freeBytes()) return err('no-memory');
     const nowMs = this.options.clock.nowMs();
     const allocation: Allocation = {
@@ -138,96 +154,108 @@
       bytes: order.bytes,
       state: 'reserved',
       copyId: order.orderId,
-      loadSentMs: nowMs,
-      seen: false,
-      users: 0,
-      lastUsedMs: nowMs,
-      retiring: false,
+      loadSentAtMs: nowMs,
+      isReported: false,
+      activeRequests: 0,
+      lastUsedAtMs: nowMs,
+      isRetiring: false,
       isInherited: false,
-      knownSinceMs: nowMs,
+      firstKnownAtMs: nowMs,
     };
     this.table.set(allocation);
     return ok(allocation);
   }
 
-  /** The load order leaves, for the first time or again. */
-  loadSent(copyId: string): void {
-    const allocation = this.table.byCopy(copyId);
-    if (allocation) allocation.loadSentMs = this.options.clock.nowMs();
+  /** Records that the load order is being sent or resent. */
+  noteLoadSent(copyId: string): void {
+    const allocation = this.table.findByCopyId(copyId);
+    if (allocation) allocation.loadSentAtMs = this.options.clock.nowMs();
   }
 
   /**
-   * The engine took the order; copies of it do no more.
+   * Records that the engine accepted the load order. Duplicates of the order
+   * have no further effect.
    *
-   * @param visibleAfterMs engine clock: a later report shows the copy.
+   * @param visibleAfterMs Engine clock: reports taken later list the copy.
    */
-  loadReceived(copyId: string, visibleAfterMs: number): void {
-    const allocation = this.table.byCopy(copyId);
+  noteLoadAccepted(copyId: string, visibleAfterMs: number): void {
+    const allocation = this.table.findByCopyId(copyId);
     if (!allocation || allocation.state === 'held') return;
     allocation.state = 'reserved';
-    allocation.provenAfterMs ??= visibleAfterMs;
+    allocation.conclusiveAfterMs ??= visibleAfterMs;
   }
 
-  /** The order's answer was lost, or it was refused and may be repeated. */
-  loadInDoubt(copyId: string): void {
-    const allocation = this.table.byCopy(copyId);
-    if (allocation?.state === 'reserved' && !allocation.seen) {
+  /**
+   * Records that it is unknown whether the engine received the load order, or
+   * that the engine refused it and may still accept a duplicate.
+   */
+  noteLoadInDoubt(copyId: string): void {
+    const allocation = this.table.findByCopyId(copyId);
+    if (allocation?.state === 'reserved' && !allocation.isReported) {
       allocation.state = 'in-doubt';
     }
   }
 
-  /** The order provably never left, or can never be taken. */
-  loadNeverSent(copyId: string): void {
-    const allocation = this.table.byCopy(copyId);
-    if (!allocation || allocation.seen) return;
+  /** Frees the reservation of a load order that was certainly not executed. */
+  noteLoadNeverSent(copyId: string): void {
+    const allocation = this.table.findByCopyId(copyId);
+    if (!allocation || allocation.isReported) return;
     this.table.delete(allocation.artifact);
   }
 
-  /** The unload order is about to leave; its bytes stay counted. */
+  /** Records that the unload order is being sent. The bytes stay reserved. */
   startRelease(artifact: string, orderId: string): void {
     const allocation = this.table.get(artifact);
     if (!allocation) return;
     allocation.state = 'releasing';
     allocation.unloadOrderId = orderId;
-    allocation.unloadReceivedMs = undefined;
-    allocation.unloadSentMs = this.nowMs();
-    allocation.unloadSentByMs = undefined;
+    allocation.unloadVisibleAfterMs = undefined;
+    allocation.unloadSentAtMs = this.nowMs();
+    allocation.unloadSentBeforeEngineMs = undefined;
   }
 
-  /** @param visibleAfterMs engine clock: a later report shows the unload. */
-  unloadReceived(orderId: string, visibleAfterMs: number): void {
-    const allocation = this.table.byUnloadOrder(orderId);
-    if (allocation) allocation.unloadReceivedMs = visibleAfterMs;
+  /**
+   * Records that the engine accepted the unload order.
+   *
+   * @param visibleAfterMs Engine clock: reports taken later reflect the unload.
+   */
+  noteUnloadAccepted(orderId: string, visibleAfterMs: number): void {
+    const allocation = this.table.findByUnloadOrderId(orderId);
+    if (allocation) allocation.unloadVisibleAfterMs = visibleAfterMs;
   }
 
-  /** Takes a report as evidence, if it is newer than all before it. */
+  /**
+   * Updates the ledger from a report. The report's inventory is ignored unless
+   * it is newer than that of all earlier reports; its timing is always used.
+   */
   observe(report: LedgerReport, timing: ReportTiming): LedgerEvent[] {
-    const events = this.noticeEngineRestart(timing);
-    this.quarantine.noteTiming(timing);
-    this.endLateBounds(timing);
-    this.noteSentUnloads(timing);
-    if (report.takenAtMs <= (this.latest?.takenAtMs ?? -1)) return events;
-    this.latest = report;
-    this.quarantine.noteReport(report.takenAtMs);
+    const events = this.detectEngineRestart(timing);
+    this.quarantine.observeTiming(timing);
+    this.resolveExpiredDoubts(timing);
+    this.noteUnloadsSentBefore(timing);
+    if (report.takenAtMs <= (this.lastReport?.takenAtMs ?? -1)) return events;
+    this.lastReport = report;
+    this.quarantine.observeReport(report.takenAtMs);
     this.budget.observe(report);
-    return [...events, ...this.judge(report)];
+    return [...events, ...this.reconcile(report)];
   }
 
-  private judge(report: LedgerReport): LedgerEvent[] {
+  /** Compares all allocations with the copies that a report lists. */
+  private reconcile(report: LedgerReport): LedgerEvent[] {
     const events: LedgerEvent[] = [];
     const {takenAtMs, models} = report;
-    const {nameCopy} = this.options;
-    const context = {takenAtMs, nowMs: this.nowMs(), nameCopy};
+    const {createCopyId} = this.options;
+    const context = {takenAtMs, nowMs: this.nowMs(), createCopyId};
     for (const model of models) {
       const known = this.table.get(model.artifact);
-      const judged = judgeListed(known, model, context);
-      if (judged.adopt) this.table.set(judged.adopt);
-      if (judged.event) events.push(judged.event);
+      const reconciliation = reconcileListed(known, model, context);
+      if (reconciliation.adopted) this.table.set(reconciliation.adopted);
+      if (reconciliation.event) events.push(reconciliation.event);
     }
     const listed = new Set(models.map(({artifact}) => artifact));
     for (const allocation of this.all()) {
       if (listed.has(allocation.artifact)) continue;
-      const event = judgeAbsent(allocation, takenAtMs);
+      const event = reconcileAbsent(allocation, takenAtMs);
       if (!event) continue;
       this.table.delete(allocation.artifact);
       events.push(event);
@@ -241,45 +269,46 @@
 
   /**
    * Without fencing, a lost load order can arrive until the bound on late
-   * delivery has passed. Only a report taken after that moment, on the engine's
-   * clock, proves that it didn't.
+   * delivery has passed. Only a report taken after that time on the engine's
+   * clock proves that it did not arrive.
    */
-  private endLateBounds(timing: ReportTiming): void {
+  private resolveExpiredDoubts(timing: ReportTiming): void {
     if (this.options.checksFencing) return;
     const {orderLateBoundMs} = this.options;
-    for (const doubt of this.doubts()) {
-      const endMs = (doubt.loadSentMs ?? 0) + orderLateBoundMs;
-      if (timing.askedAtMs >= endMs) doubt.provenAfterMs = timing.engineNowMs;
+    for (const load of this.loadsInDoubt()) {
+      const endMs = (load.loadSentAtMs ?? 0) + orderLateBoundMs;
+      if (timing.sentAtMs >= endMs) load.conclusiveAfterMs = timing.engineNowMs;
     }
   }
 
   /**
-   * Every answer to an unload order can be lost, and its bytes would stay
-   * counted for ever. An exchange that began after the order was sent gives a
-   * moment of the engine's clock; a report taken after it, without the copy,
-   * confirms the unload like an answer.
+   * If every answer to an unload order is lost, the bytes would stay reserved
+   * forever. A report request that was sent after the order yields a time on
+   * the engine's clock. A report that was taken after that time and doesn't
+   * list the copy confirms the unload like an answer.
    */
-  private noteSentUnloads({askedAtMs, engineNowMs}: ReportTiming): void {
+  private noteUnloadsSentBefore({sentAtMs, engineNowMs}: ReportTiming): void {
     for (const allocation of this.all()) {
-      const {state, unloadSentMs = Number.POSITIVE_INFINITY} = allocation;
-      if (state !== 'releasing' || askedAtMs <= unloadSentMs) continue;
-      allocation.unloadSentByMs ??= engineNowMs;
+      const {state, unloadSentAtMs = Number.POSITIVE_INFINITY} = allocation;
+      if (state !== 'releasing' || sentAtMs <= unloadSentAtMs) continue;
+      allocation.unloadSentBeforeEngineMs ??= engineNowMs;
     }
   }
 
   /**
-   * A new engine process has a new clock and may have forgotten fencing numbers
-   * and order ids, so a late copy of an old order would load again. The start's
-   * quarantine is repeated, and old times prove nothing any more.
+   * Detects an engine restart by its clock. A new engine process may have lost
+   * its fencing tokens and order ids, so a delayed duplicate of an old order
+   * would be executed again. The quarantine restarts, and times of the previous
+   * process are invalidated.
    */
-  private noticeEngineRestart(timing: ReportTiming): LedgerEvent[] {
+  private detectEngineRestart(timing: ReportTiming): LedgerEvent[] {
     const previousMs = this.lastEngineNowMs;
     this.lastEngineNowMs = timing.engineNowMs;
     if (timing.engineNowMs >= previousMs - ENGINE_RESTART_STEP_MS) return [];
     this.quarantine.restart(this.nowMs());
-    if (this.latest) this.latest = {...this.latest, takenAtMs: -1};
+    if (this.lastReport) this.lastReport = {...this.lastReport, takenAtMs: -1};
     for (const allocation of this.all()) {
-      forgetEngineTimes(allocation, timing.engineNowMs, this.nowMs());
+      resetEngineTimes(allocation, timing.engineNowMs, this.nowMs());
     }
     return [{kind: 'engine-restarted', artifact: '', copyId: ''}];
   }
--- a/packages/banyanfold-agent/src/parts/createMemoryParts.ts
+++ b/packages/banyanfold-agent/src/parts/createEngineParts.ts
@@ -1,42 +1,52 @@
-import type {AgentBasis, Leaving, MemoryParts} from '../agentContext.js';
+import type {
+  AgentDependencies,
+  LeavingFlag,
+  EngineParts,
+} from '../agentContext.js';
 import {EngineClient} from '../engine/engineClient.js';
 import {FencingTokenManager} from '../engine/fencingTokenManager.js';
 import {OrderSender} from '../engine/orderSender.js';
 import {MemoryLedger} from '../memory/memoryLedger.js';
 
-/** Builds the engine's client, its ledger and what gives it orders. */
-export function createMemoryParts(
-  basis: AgentBasis,
-  {setLeaving}: Leaving,
-): MemoryParts {
-  const {settings, clock, logger} = basis;
+/**
+ * Creates the engine's client, its memory ledger, the fencing token's holder
+ * and the sender of orders.
+ */
+export function createEngineParts(
+  dependencies: AgentDependencies,
+  {markLeaving}: LeavingFlag,
+): EngineParts {
+  const {settings, clock, logger} = dependencies;
   const {checksFencing, orderLateBoundMs} = settings.engine;
-  const fence = new FencingTokenManager({...basis, vmId: settings.vmId});
-  const nextOrderId = createOrderIds(settings.vmId, fence);
+  const fence = new FencingTokenManager({...dependencies, vmId: settings.vmId});
+  const nextOrderId = createOrderIdGenerator(settings.vmId, fence);
   const engine = new EngineClient({...settings.engine, clock});
   const ledger = new MemoryLedger({
     ...settings.memory,
     clock,
     checksFencing,
     orderLateBoundMs,
-    nameCopy: nextOrderId,
+    createCopyId: nextOrderId,
   });
   const orders = new OrderSender({
-    ...basis,
+    ...dependencies,
     engine,
     ledger,
     fencing: () => fence.current(),
     onSuperseded: highestFencing => {
       logger.error('superseded', {highestFencing});
       fence.markSuperseded();
-      setLeaving();
+      markLeaving();
     },
   });
   return {fence, engine, ledger, orders, nextOrderId};
 }
 
-/** Ids that are unique for all time: an incarnation names one process, once. */
-function createOrderIds(
+/**
+ * Returns a generator of order ids. The ids are never reused, because each
+ * process has its own incarnation.
+ */
+function createOrderIdGenerator(
   vmId: string,
   fence: FencingTokenManager,
 ): (artifact: string) => string {
