--- a/packages/banyanfold-entry/src/__tests__/frameScanner.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/frameScanner.test.ts
@@ -14,7 +14,7 @@
   let fault: string | undefined;
   for (const chunk of chunks) {
     const result = scanner.scan(chunk);
-    passed += Buffer.concat(result.slices).toString();
+    passed += Buffer.concat(result.events).toString();
     dropped += result.dropped;
     fault ??= result.fault;
   }
--- a/packages/banyanfold-entry/src/__tests__/askerOf.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/identifyCaller.test.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage} from 'node:http';
 import {describe, expect, it} from 'vitest';
 import {HEADERS} from '@banyanfold/protocol';
-import {askerOf} from '../requests/acceptRequest.js';
+import {identifyCaller} from '../requests/acceptRequest.js';
 
 const CALLER = {
   name: 'phone',
@@ -13,10 +13,10 @@
 
 function ask(desk: string | undefined) {
   const headers = {authorization: 'Bearer k', [HEADERS.desk]: desk};
-  return () => askerOf({headers} as unknown as IncomingMessage, CALLER);
+  return () => identifyCaller({headers} as unknown as IncomingMessage, CALLER);
 }
 
-describe('askerOf', () => {
+describe('identifyCaller', () => {
   it.each([
     ['its own desk when it names none', undefined, 'phone'],
     ['its own desk', 'phone', 'phone'],
--- a/packages/banyanfold-entry/src/attempts/attemptOpening.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptResponse.ts
@@ -53,13 +53,13 @@
   reason: string;
 }
 
-export type AttemptOpening = AttemptAnswer | AttemptRefusal | AttemptFailure;
+export type AttemptResponse = AttemptAnswer | AttemptRefusal | AttemptFailure;
 
 /** Checks the head of an agent's answer to an attempt. */
-export async function readOpening(
+export async function readAttemptResponse(
   attemptId: string,
   response: Dispatcher.ResponseData,
-): Promise<AttemptOpening> {
+): Promise<AttemptResponse> {
   const headers = flattenHeaders(response.headers);
   if (headers[HEADERS.attemptId] !== attemptId) {
     // A crossed or late answer. Its connection can't be trusted either.
@@ -80,7 +80,7 @@
 }
 
 /** The headers of an agent's answer that the caller gets. */
-export function callerHeaders(
+export function forwardableHeaders(
   headers: Record<string, string>,
 ): Record<string, string> {
   const passed: Record<string, string> = {};
@@ -91,7 +91,7 @@
 }
 
 /** The load that rides on an answer, or undefined when it can't be read. */
-export function digestOf(
+export function parseLoadDigest(
   headers: Record<string, string>,
 ): LoadDigest | undefined {
   const text = headers[HEADERS.load];
@@ -104,7 +104,7 @@
 }
 
 /** What a failed call proves. */
-export function failureOf(error: unknown): AttemptFailure {
+export function failureFromError(error: unknown): AttemptFailure {
   const {code, syscall, name} = error as {
     code?: string;
     syscall?: string;
--- a/packages/banyanfold-entry/src/attempts/attemptTransport.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptTransport.ts
@@ -2,22 +2,26 @@
 import {HEADERS, PATHS} from '@banyanfold/protocol';
 import type {EntrySettings} from '../settings.js';
 import type {AgentState} from '../view/agentState.js';
-import {failureOf, readOpening, type AttemptOpening} from './attemptOpening.js';
+import {
+  failureFromError,
+  readAttemptResponse,
+  type AttemptResponse,
+} from './attemptResponse.js';
 
 /** Which attempt is meant, and at which agent. */
-export interface AttemptAddress {
+export interface AttemptTarget {
   agent: AgentState;
   attemptId: string;
   signal: AbortSignal;
 }
 
 /** Comes back for an attempt's answer. */
-export interface ResumeRequest extends AttemptAddress {
+export interface ResumeRequest extends AttemptTarget {
   requestId: string;
 }
 
 /** One attempt as it goes to an agent. */
-export interface AttemptRequest extends AttemptAddress {
+export interface AttemptRequest extends AttemptTarget {
   /** `v1/chat/completions`, or `services/{service}/{path…}`. */
   path: string;
   headers: Record<string, string>;
@@ -46,7 +50,7 @@
   }
 
   /** Sends an attempt and waits for the head of its answer. */
-  async open(request: AttemptRequest): Promise<AttemptOpening> {
+  async open(request: AttemptRequest): Promise<AttemptResponse> {
     return this.send(request, {
       method: 'POST',
       path: `${PATHS.attempt}${request.path}`,
@@ -59,7 +63,7 @@
   async resume(
     request: ResumeRequest,
     lastSeq: number,
-  ): Promise<AttemptOpening> {
+  ): Promise<AttemptResponse> {
     return this.send(request, {
       method: 'GET',
       path: `${PATHS.attempt}${request.attemptId}`,
@@ -76,14 +80,14 @@
   }
 
   private async send(
-    request: AttemptAddress,
+    request: AttemptTarget,
     options: {
       method: 'GET' | 'POST';
       path: string;
       headers: Record<string, string>;
       body?: Buffer;
     },
-  ): Promise<AttemptOpening> {
+  ): Promise<AttemptResponse> {
     const {host, port} = request.agent.vm;
     try {
       const response = await this.dispatcher.request({
@@ -95,9 +99,9 @@
         },
         signal: request.signal,
       });
-      return await readOpening(request.attemptId, response);
+      return await readAttemptResponse(request.attemptId, response);
     } catch (error) {
-      return failureOf(error);
+      return failureFromError(error);
     }
   }
 }
--- a/packages/banyanfold-entry/src/attempts/collectAnswer.ts
+++ b/packages/banyanfold-entry/src/attempts/collectAnswer.ts
@@ -1,5 +1,5 @@
 import type {WholeAnswer} from '../requests/types.js';
-import {callerHeaders, type AttemptAnswer} from './attemptOpening.js';
+import {forwardableHeaders, type AttemptAnswer} from './attemptResponse.js';
 
 /**
  * Reads an answer that isn't streamed, to its end.
@@ -39,7 +39,7 @@
   return {
     status,
     headers: {
-      ...callerHeaders(headers),
+      ...forwardableHeaders(headers),
       'content-length': String(sizeBytes),
     },
     body: Buffer.concat(chunks),
--- a/packages/banyanfold-entry/src/attempts/finalError.ts
+++ b/packages/banyanfold-entry/src/attempts/finalError.ts
@@ -1,7 +1,7 @@
 import type {RoutingDecision} from '@banyanfold/decisions';
 import type {Outcome} from '@banyanfold/protocol';
 import {ApiError, type ApiErrorCode} from '../http/apiErrors.js';
-import type {AttemptRefusal} from './attemptOpening.js';
+import type {AttemptRefusal} from './attemptResponse.js';
 
 const UNREACHABLE_RETRY_MS = 1000;
 const REQUEST_FAULT_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
@@ -32,7 +32,7 @@
 };
 
 /** A refusal by the entry's own view, before any attempt. */
-export function routeRefusal(decision: RouteRefusal): ApiError {
+export function routeRefusalError(decision: RouteRefusal): ApiError {
   const {code, message} = ROUTE_ERRORS[decision.code];
   return new ApiError(code, message, {retryAfterMs: decision.retryAfterMs});
 }
@@ -65,13 +65,13 @@
 }
 
 /** Whether an agent refused for what the caller sent. */
-export function isRequestFault({status}: AttemptRefusal): boolean {
+export function isInvalidRequestRefusal({status}: AttemptRefusal): boolean {
   return REQUEST_FAULT_STATUSES.has(status);
 }
 
 function refusedError(refusal: AttemptRefusal): ApiError {
   const {message, code, retryAfterMs} = refusal;
-  if (isRequestFault(refusal)) {
+  if (isInvalidRequestRefusal(refusal)) {
     return new ApiError('invalid_request', `${code}: ${message}`);
   }
   return new ApiError('agent_refused', `${code}: ${message}`, {
--- a/packages/banyanfold-entry/src/attempts/frameScanner.ts
+++ b/packages/banyanfold-entry/src/attempts/frameScanner.ts
@@ -9,9 +9,9 @@
 /** Why a stream can't be followed further. */
 export type FrameFault = 'gap' | 'malformed' | 'too-long';
 
-export interface ScannedFrames {
+export interface ScanResult {
   /** Events to pass on in order, without their id lines. */
-  slices: Buffer[];
+  events: Buffer[];
   fault: FrameFault | undefined;
   /** Frames of another attempt, or passed on before. */
   dropped: number;
@@ -49,8 +49,8 @@
   }
 
   /** Scans the next chunk; a partial event is held until it is complete. */
-  scan(chunk: Buffer): ScannedFrames {
-    const result: ScannedFrames = {slices: [], fault: undefined, dropped: 0};
+  scan(chunk: Buffer): ScanResult {
+    const result: ScanResult = {events: [], fault: undefined, dropped: 0};
     const data =
       this.held.length > 0 ? Buffer.concat([this.held, chunk]) : chunk;
     let start = 0;
@@ -67,7 +67,7 @@
     return result;
   }
 
-  private takeEvent(event: Buffer, result: ScannedFrames): void {
+  private takeEvent(event: Buffer, result: ScanResult): void {
     if (event[0] === COLON) return;
     if (!startsWith(event, this.prefix)) {
       if (startsWith(event, ID_FIELD)) result.dropped++;
@@ -86,7 +86,7 @@
       this.lastSeq = seq;
       const slice = event.subarray(lineEnd + 1);
       this.done = slice.equals(DONE_DATA);
-      result.slices.push(slice);
+      result.events.push(slice);
     }
   }
 }
--- a/packages/banyanfold-entry/src/attempts/idleWatch.ts
+++ b/packages/banyanfold-entry/src/attempts/idleTimer.ts
@@ -7,7 +7,7 @@
  * Calls back once nothing was noted for a while. It has one timer whatever the
  * number of events, as a timer for each chunk would cost more than the chunk.
  */
-export class IdleWatch {
+export class IdleTimer {
   private lastMs: number;
   private paused = false;
   private timer: Timer | undefined;
@@ -26,7 +26,7 @@
     this.paused = true;
   }
 
-  note(): void {
+  recordActivity(): void {
     this.paused = false;
     this.lastMs = this.clock.nowMs();
   }
--- a/packages/banyanfold-entry/src/attempts/outcomeProof.ts
+++ b/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
@@ -7,21 +7,21 @@
  * ravine twice if that was untrue. So it is said only when each attempt is
  * proved not to have started; whatever can't be proved counts as started.
  */
-export class OutcomeProof {
+export class OutcomeTracker {
   private readonly open = new Set<Promise<void>>();
   private mayHaveStarted = false;
 
   /** Notes an attempt whose fate is known now. */
-  note(neverStarted: boolean): void {
+  record(neverStarted: boolean): void {
     if (!neverStarted) this.mayHaveStarted = true;
   }
 
   /** Notes an attempt whose seal has yet to answer. */
-  noteLater(neverStarted: Promise<boolean>): void {
+  recordPending(neverStarted: Promise<boolean>): void {
     const settled = neverStarted
       .catch(() => false)
       .then(proved => {
-        this.note(proved);
+        this.record(proved);
         this.open.delete(settled);
       });
     this.open.add(settled);
--- a/packages/banyanfold-entry/src/attempts/runAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/runAttempt.ts
@@ -3,13 +3,13 @@
 import type {RequestJob, RequestResult} from '../requests/types.js';
 import type {AgentState} from '../view/agentState.js';
 import {
-  digestOf,
+  parseLoadDigest,
   type AttemptAnswer,
-  type AttemptOpening,
+  type AttemptResponse,
   type AttemptRefusal,
-} from './attemptOpening.js';
+} from './attemptResponse.js';
 import {collectAnswer} from './collectAnswer.js';
-import {pauseBeforeResume} from './resumePause.js';
+import {waitBeforeResume} from './waitBeforeResume.js';
 import {StreamRelay} from './streamRelay.js';
 
 const FIRST_SERVER_ERROR = 500;
@@ -107,7 +107,7 @@
     const {signal} = this.stop;
     const address = {agent, attemptId, requestId: job.requestId, signal};
     for (let tries = 0; tries < resumeTries && !signal.aborted; tries++) {
-      await pauseBeforeResume(context, tries);
+      await waitBeforeResume(context, tries);
       const opened = await context.transport.resume(address, 0);
       const result = await this.take(opened, onFirstEvent);
       context.logger.warn('answer-resume', {
@@ -124,7 +124,7 @@
   }
 
   private async take(
-    opened: AttemptOpening,
+    opened: AttemptResponse,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent} = this.options;
@@ -132,7 +132,7 @@
     if (opened.kind === 'failed') {
       return {...opened, reason: this.reasonOr(opened.reason)};
     }
-    const digest = digestOf(opened.headers);
+    const digest = parseLoadDigest(opened.headers);
     if (digest) agent.applyDigest(digest, context.clock.nowMs());
     if (opened.kind === 'refused') return {kind: 'refused', refusal: opened};
     if (this.isEngineFailure(opened)) {
@@ -210,8 +210,8 @@
       [HEADERS.priority]: String(job.target.selector.priority),
       [HEADERS.firstTokenBudgetMs]: budget(job.firstTokenDeadlineMs),
       [HEADERS.wholeBudgetMs]: budget(job.wholeDeadlineMs),
-      [HEADERS.promptTokens]: String(job.facts.promptTokens),
-      [HEADERS.maxTokens]: String(job.facts.maxTokens),
+      [HEADERS.promptTokens]: String(job.metadata.promptTokens),
+      [HEADERS.maxTokens]: String(job.metadata.maxTokens),
       [HEADERS.prefixHash]: job.prefixHash,
       // A service's call takes no KV cache, and agents refuse a zero here.
       ...(job.target.kvBytesPerToken > 0 && {
--- a/packages/banyanfold-entry/src/attempts/runRequest.ts
+++ b/packages/banyanfold-entry/src/attempts/runRequest.ts
@@ -12,11 +12,11 @@
 import type {AgentState} from '../view/agentState.js';
 import {
   finalError,
-  isRequestFault,
-  routeRefusal,
+  isInvalidRequestRefusal,
+  routeRefusalError,
   type LastFailure,
 } from './finalError.js';
-import {OutcomeProof} from './outcomeProof.js';
+import {OutcomeTracker} from './outcomeTracker.js';
 import {runAttempt, type AttemptResult} from './runAttempt.js';
 import {sealAttempt, type SealTarget} from './sealAttempt.js';
 
@@ -29,7 +29,7 @@
 }
 
 class RequestRun {
-  private readonly proof = new OutcomeProof();
+  private readonly proof = new OutcomeTracker();
   private readonly triedVmIds: string[] = [];
   private last: LastFailure | undefined;
 
@@ -45,7 +45,7 @@
       const decision = routeAttempt(this.context, this.job, this.triedVmIds);
       if (decision.kind === 'refuse') {
         this.noteMiss(decision.code);
-        return this.fail(routeRefusal(decision));
+        return this.fail(routeRefusalError(decision));
       }
       const agent = this.context.view.agent(decision.vmId)!;
       this.triedVmIds.push(agent.vmId);
@@ -61,7 +61,7 @@
     const result = await runAttempt({context, job, ...seal});
     this.logEnd(seal, result);
     if (result.kind === 'refused') {
-      this.proof.note(result.refusal.outcome === 'not-run');
+      this.proof.record(result.refusal.outcome === 'not-run');
       this.last = result;
     } else if (result.kind === 'failed') {
       this.last = result;
@@ -82,10 +82,10 @@
     neverSent: boolean,
   ): Promise<void> {
     if (neverSent) {
-      this.proof.note(true);
+      this.proof.record(true);
       return;
     }
-    this.proof.noteLater(sealAttempt(this.context, seal));
+    this.proof.recordPending(sealAttempt(this.context, seal));
     if (!this.job.target.selector.repeatable) await this.proof.settle();
   }
 
@@ -120,7 +120,7 @@
         {
           attemptsMade: this.triedVmIds.length,
           budgetTokens,
-          firstByteSent: job.out.started,
+          firstByteSent: job.callerStream.started,
           allNeverStarted: this.proof.allNeverStarted,
           repeatable: job.target.selector.repeatable,
           remainingBudgetMs: job.wholeDeadlineMs - nowMs,
@@ -166,5 +166,5 @@
 
 /** The request itself is at fault; every agent would say the same. */
 function isFinalRefusal(last: LastFailure | undefined): boolean {
-  return last?.kind === 'refused' && isRequestFault(last.refusal);
+  return last?.kind === 'refused' && isInvalidRequestRefusal(last.refusal);
 }
--- a/packages/banyanfold-entry/src/attempts/streamRelay.ts
+++ b/packages/banyanfold-entry/src/attempts/streamRelay.ts
@@ -1,10 +1,10 @@
 import type {EntryContext} from '../context.js';
 import type {RequestJob} from '../requests/types.js';
 import type {AgentState} from '../view/agentState.js';
-import {callerHeaders, type AttemptAnswer} from './attemptOpening.js';
+import {forwardableHeaders, type AttemptAnswer} from './attemptResponse.js';
 import {FrameScanner} from './frameScanner.js';
-import {IdleWatch} from './idleWatch.js';
-import {pauseBeforeResume} from './resumePause.js';
+import {IdleTimer} from './idleTimer.js';
+import {waitBeforeResume} from './waitBeforeResume.js';
 
 type Body = AttemptAnswer['body'];
 
@@ -53,13 +53,13 @@
       }
       if (job.signal.aborted) return {kind: 'caller-gone'};
       if (this.mayRunElsewhere() || triesLeft === 0) break;
-      await pauseBeforeResume(context, resumeTries - triesLeft);
+      await waitBeforeResume(context, resumeTries - triesLeft);
       triesLeft--;
       const resumed = await this.resume(reason);
       if (resumed === 'gone') break;
       body = resumed;
     }
-    return {kind: 'broken', started: job.out.started, reason};
+    return {kind: 'broken', started: job.callerStream.started, reason};
   }
 
   /** Passes on what comes; the answer says why it stopped. */
@@ -71,7 +71,7 @@
       fault ??= why;
       body.destroy();
     };
-    const idle = new IdleWatch(clock, settings.attempts.streamIdleMs, () =>
+    const idle = new IdleTimer(clock, settings.attempts.streamIdleMs, () =>
       stop('idle'),
     );
     // The loop below may be left before the error that `destroy` gives comes;
@@ -85,13 +85,13 @@
       // the answer is read off, so that its connection can be used again.
       const chunks = body.iterator({destroyOnReturn: false});
       for await (const chunk of chunks as AsyncIterable<Buffer>) {
-        idle.note();
+        idle.recordActivity();
         const frames = this.scanner.scan(chunk);
         this.noteDropped(frames.dropped);
         // A caller that reads slowly is not an agent that sends nothing.
         idle.pause();
-        if (frames.slices.length > 0) await this.pass(frames.slices, opened);
-        idle.note();
+        if (frames.events.length > 0) await this.pass(frames.events, opened);
+        idle.recordActivity();
         if (frames.fault) stop(frames.fault);
         if (this.scanner.done || fault) break;
       }
@@ -109,16 +109,16 @@
     const {job, onFirstEvent} = this.options;
     if (!this.firstEventSent) {
       this.firstEventSent = true;
-      job.out.begin(opened.status, callerHeaders(opened.headers));
+      job.callerStream.begin(opened.status, forwardableHeaders(opened.headers));
       onFirstEvent();
     }
-    await job.out.write(slices, this.scanner.done);
+    await job.callerStream.write(slices, this.scanner.done);
   }
 
   /** Nothing was sent yet and it may be repeated: a fresh try is simpler. */
   private mayRunElsewhere(): boolean {
     const {job} = this.options;
-    return !job.out.started && job.target.selector.repeatable;
+    return !job.callerStream.started && job.target.selector.repeatable;
   }
 
   private async resume(reason: string): Promise<Body | 'gone' | undefined> {
--- a/packages/banyanfold-entry/src/attempts/resumePause.ts
+++ b/packages/banyanfold-entry/src/attempts/waitBeforeResume.ts
@@ -6,7 +6,7 @@
  * is random, so that the streams of one agent don't all come back together,
  * and half is not, so that the tries last until a restarted agent is back.
  */
-export async function pauseBeforeResume(
+export async function waitBeforeResume(
   {clock, random, settings}: EntryContext,
   triesMade: number,
 ): Promise<void> {
--- a/packages/banyanfold-entry/src/createEntry.ts
+++ b/packages/banyanfold-entry/src/createEntry.ts
@@ -25,7 +25,7 @@
 import {createEntryHandlers} from './control/entryHandlers.js';
 import {drainEntry} from './drain.js';
 import {CallerDirectory} from './http/callers.js';
-import {createListener, listen} from './http/createListener.js';
+import {createHttpServer, listen} from './http/createHttpServer.js';
 import {InferenceHandler} from './http/inference.js';
 import {createRequestListener} from './http/routes.js';
 import {Lifecycle} from './lifecycle.js';
@@ -96,7 +96,7 @@
       });
       const inference = new InferenceHandler(context, plugins);
       const listener = createRequestListener({context, inference, control});
-      server = createListener(settings, listener);
+      server = createHttpServer(settings, listener);
       const port = await listen(server, settings);
       await pollers.start();
       context.configWatch.start();
--- a/packages/banyanfold-entry/src/http/callerStream.ts
+++ b/packages/banyanfold-entry/src/http/callerStream.ts
@@ -1,6 +1,6 @@
 import type {ServerResponse} from 'node:http';
 import type {ApiError} from './apiErrors.js';
-import {untilTaken, type StallLimit} from './untilTaken.js';
+import {waitForFlush, type StallLimit} from './waitForFlush.js';
 
 /** The caller's end of a streamed answer. */
 export class CallerStream {
@@ -40,7 +40,7 @@
     if (isLast) res.end();
     res.uncork();
     if (isLast) return;
-    if (!hasRoom) await untilTaken(res, 'drain', this.limit);
+    if (!hasRoom) await waitForFlush(res, 'drain', this.limit);
   }
 
   /**
--- a/packages/banyanfold-entry/src/http/createListener.ts
+++ b/packages/banyanfold-entry/src/http/createHttpServer.ts
@@ -4,7 +4,7 @@
 import type {EntrySettings} from '../settings.js';
 
 /** Creates the server for callers and peers, with TLS when it is set. */
-export function createListener(
+export function createHttpServer(
   settings: EntrySettings,
   listener: RequestListener,
 ): Server {
--- a/packages/banyanfold-entry/src/http/inference.ts
+++ b/packages/banyanfold-entry/src/http/inference.ts
@@ -3,14 +3,14 @@
 import type {EntryContext, EntryPlugin, NextStep} from '../context.js';
 import {acceptRequest} from '../requests/acceptRequest.js';
 import type {
-  RequestFacts,
+  RequestMetadata,
   RequestJob,
   RequestResult,
 } from '../requests/types.js';
 import {ApiError, writeApiError} from './apiErrors.js';
 import {CallerStream} from './callerStream.js';
 import {readBody} from './readBody.js';
-import {untilTaken, type StallLimit} from './untilTaken.js';
+import {waitForFlush, type StallLimit} from './waitForFlush.js';
 
 const OVERLOADED_RETRY_MS = 1000;
 
@@ -19,7 +19,7 @@
   req: IncomingMessage;
   res: ServerResponse;
   path: string;
-  readFacts(body: Buffer): RequestFacts;
+  readMetadata(body: Buffer): RequestMetadata;
 }
 
 /** Serves calls that reach a model or a service. */
@@ -47,15 +47,23 @@
   }
 
   private async serve(
-    {req, res, path, readFacts}: InferenceCall,
+    {req, res, path, readMetadata}: InferenceCall,
     caller: Parameters<typeof acceptRequest>[1]['caller'],
   ): Promise<void> {
     const {context} = this;
     const startedMs = context.clock.nowMs();
-    const out = new CallerStream(res, this.stallLimit());
+    const callerStream = new CallerStream(res, this.stallLimit());
     const body = await readBody(req, context.settings.limits.bodyBytes);
-    const facts = readFacts(body);
-    const options = {req, caller, facts, path, body, out, startedMs};
+    const metadata = readMetadata(body);
+    const options = {
+      req,
+      caller,
+      metadata,
+      path,
+      body,
+      callerStream,
+      startedMs,
+    };
     const job = acceptRequest(context, options);
     const result = await this.run(job);
     this.logEnd(job, result);
@@ -97,13 +105,13 @@
     } else if (result.kind === 'broken') {
       const message = `the answer broke off: ${result.reason}`;
       const options = {outcome: 'unknown'} as const;
-      job.out.abort(new ApiError('outcome_unknown', message, options));
+      job.callerStream.abort(new ApiError('outcome_unknown', message, options));
     } else if (result.kind === 'answer' && !res.destroyed) {
       const {status, headers, body} = result.answer;
       res.writeHead(status, headers);
       res.end(body);
     }
-    await untilTaken(res, 'finish', this.stallLimit());
+    await waitForFlush(res, 'finish', this.stallLimit());
   }
 
   private stallLimit(): StallLimit {
--- a/packages/banyanfold-entry/src/http/routes.ts
+++ b/packages/banyanfold-entry/src/http/routes.ts
@@ -1,8 +1,8 @@
 import type {IncomingMessage, RequestListener, ServerResponse} from 'node:http';
 import {PATHS} from '@banyanfold/protocol';
 import type {EntryContext} from '../context.js';
-import {askerOf, requireConfig} from '../requests/acceptRequest.js';
-import {parseCompletion, serviceFacts} from '../requests/parseRequest.js';
+import {identifyCaller, requireConfig} from '../requests/acceptRequest.js';
+import {parseCompletion, serviceMetadata} from '../requests/parseRequest.js';
 import {ApiError, writeApiError} from './apiErrors.js';
 import type {InferenceHandler} from './inference.js';
 import {isReady} from './readiness.js';
@@ -59,7 +59,7 @@
               req,
               res,
               path,
-              readFacts: parseCompletion,
+              readMetadata: parseCompletion,
             }),
         },
       ],
@@ -81,7 +81,7 @@
         req,
         res,
         path: req.url!.slice(1),
-        readFacts: () => serviceFacts(service),
+        readMetadata: () => serviceMetadata(service),
       }),
   };
 }
@@ -117,7 +117,9 @@
 function models(context: EntryContext): Handler {
   return async (req, res) => {
     const caller = context.callers.authenticate(req);
-    const names = requireConfig(context).visibleNames(askerOf(req, caller));
+    const names = requireConfig(context).visibleNames(
+      identifyCaller(req, caller),
+    );
     const data = names.map(id => ({
       id,
       object: 'model',
--- a/packages/banyanfold-entry/src/http/untilTaken.ts
+++ b/packages/banyanfold-entry/src/http/waitForFlush.ts
@@ -12,7 +12,7 @@
  * that takes nothing for too long is cut off: its answer holds memory here and
  * a place at an accelerator, and it would hold them for ever.
  */
-export function untilTaken(
+export function waitForFlush(
   res: ServerResponse,
   event: 'drain' | 'finish',
   {clock, stallMs}: StallLimit,
--- a/packages/banyanfold-entry/src/requests/acceptRequest.ts
+++ b/packages/banyanfold-entry/src/requests/acceptRequest.ts
@@ -7,7 +7,7 @@
 import type {CallerStream} from '../http/callerStream.js';
 import type {CallerSettings} from '../settings.js';
 import {prefixHashOf} from './parseRequest.js';
-import type {RequestFacts, RequestJob} from './types.js';
+import type {RequestMetadata, RequestJob} from './types.js';
 
 const RETRY_WHEN_READY_MS = 1000;
 
@@ -18,7 +18,7 @@
 };
 
 /** Who asks, as selectors see it. */
-export interface Asker {
+export interface CallerIdentity {
   caller: string;
   desk: string;
   headers: Record<string, string>;
@@ -28,10 +28,10 @@
 export interface AcceptOptions {
   req: IncomingMessage;
   caller: CallerSettings;
-  facts: RequestFacts;
+  metadata: RequestMetadata;
   path: string;
   body: Buffer;
-  out: CallerStream;
+  callerStream: CallerStream;
   startedMs: number;
 }
 
@@ -53,7 +53,10 @@
  *
  * @throws ApiError `not_allowed` for another desk.
  */
-export function askerOf(req: IncomingMessage, caller: CallerSettings): Asker {
+export function identifyCaller(
+  req: IncomingMessage,
+  caller: CallerSettings,
+): CallerIdentity {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(req.headers)) {
     if (name !== 'authorization' && typeof value === 'string') {
@@ -80,17 +83,17 @@
   context: EntryContext,
   options: AcceptOptions,
 ): RequestJob {
-  const {req, caller, facts, path, body, out, startedMs} = options;
-  const asker = askerOf(req, caller);
-  const target = resolveTarget(requireConfig(context), asker, facts);
+  const {req, caller, metadata, path, body, callerStream, startedMs} = options;
+  const asker = identifyCaller(req, caller);
+  const target = resolveTarget(requireConfig(context), asker, metadata);
   const {targets, repeatable} = target.selector;
   return {
     requestId: uuidV4(),
     caller: asker.caller,
     desk: asker.desk,
     target,
-    facts,
-    prefixHash: prefixHashOf(target.artifact, facts.prefixText),
+    metadata,
+    prefixHash: prefixHashOf(target.artifact, metadata.prefixText),
     path,
     contentType: req.headers['content-type'] ?? 'application/json',
     body,
@@ -98,16 +101,16 @@
     startedMs,
     firstTokenDeadlineMs: startedMs + targets.firstTokenMs,
     wholeDeadlineMs: startedMs + targets.wholeAnswerMs,
-    out,
-    signal: repeatable ? out.signal : new AbortController().signal,
+    callerStream,
+    signal: repeatable ? callerStream.signal : new AbortController().signal,
     attempts: 0,
   };
 }
 
 function resolveTarget(
   config: CompiledConfig,
-  asker: Asker,
-  {requestedName, isService}: RequestFacts,
+  asker: CallerIdentity,
+  {requestedName, isService}: RequestMetadata,
 ): ResolvedTarget {
   const resolved = config.resolve({...asker, requestedName});
   if (resolved.isErr()) {
--- a/packages/banyanfold-entry/src/requests/parseRequest.ts
+++ b/packages/banyanfold-entry/src/requests/parseRequest.ts
@@ -2,7 +2,7 @@
 import {z} from 'zod';
 import {ApiError} from '../http/apiErrors.js';
 import {promptPrefix} from './promptPrefix.js';
-import type {RequestFacts} from './types.js';
+import type {RequestMetadata} from './types.js';
 
 const CHARACTERS_PER_TOKEN = 4;
 const DEFAULT_MAX_TOKENS = 512;
@@ -24,7 +24,7 @@
  *
  * @throws ApiError `invalid_request`, naming the field.
  */
-export function parseCompletion(body: Buffer): RequestFacts {
+export function parseCompletion(body: Buffer): RequestMetadata {
   const checked = completionSchema.safeParse(parseJson(body));
   if (!checked.success) {
     const {path, message} = checked.error.issues[0]!;
@@ -43,7 +43,7 @@
 }
 
 /** A plain service's request is passed on unread. */
-export function serviceFacts(service: string): RequestFacts {
+export function serviceMetadata(service: string): RequestMetadata {
   return {
     isService: true,
     requestedName: service,
--- a/packages/banyanfold-entry/src/requests/types.ts
+++ b/packages/banyanfold-entry/src/requests/types.ts
@@ -3,7 +3,7 @@
 import type {CallerStream} from '../http/callerStream.js';
 
 /** What of a request's body routing and admission need. */
-export interface RequestFacts {
+export interface RequestMetadata {
   /** Which kind of call it is; a name of the other kind isn't found. */
   isService: boolean;
   requestedName: string;
@@ -20,7 +20,7 @@
   caller: string;
   desk: string;
   target: ResolvedTarget;
-  facts: RequestFacts;
+  metadata: RequestMetadata;
   prefixHash: string;
   /** `v1/chat/completions`, or `services/{service}/{path…}`. */
   path: string;
@@ -31,7 +31,7 @@
   firstTokenDeadlineMs: number;
   wholeDeadlineMs: number;
   /** Where a streamed answer goes. */
-  out: CallerStream;
+  callerStream: CallerStream;
   /**
    * Aborted when the caller goes away. Not so for one that may not be
    * repeated: it runs to its end, so that its outcome is there for the call
--- a/packages/banyanfold-entry/src/routing/routeAttempt.ts
+++ b/packages/banyanfold-entry/src/routing/routeAttempt.ts
@@ -39,7 +39,7 @@
   triedVmIds: readonly string[],
   nowMs: number,
 ): RoutingRequest {
-  const {target, facts} = job;
+  const {target, metadata} = job;
   return {
     artifact: target.artifact,
     // A service has no model; it is held where it is offered.
@@ -47,8 +47,8 @@
     priority: target.selector.priority,
     runnerRole: target.selector.runnerRole ?? '',
     prefixHash: job.prefixHash,
-    promptTokens: facts.promptTokens,
-    maxTokens: facts.maxTokens,
+    promptTokens: metadata.promptTokens,
+    maxTokens: metadata.maxTokens,
     firstTokenBudgetMs: waitBudgetMs(job, nowMs),
     triedVmIds,
   };
