--- a/packages/banyanfold-entry/src/attempts/attemptResponse.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptResponse.ts
@@ -9,7 +9,7 @@
 const MS_PER_SECOND = 1000;
 
 /** Headers that are this hop's own and are never passed on. */
-const HEADERS_KEPT_BACK = new Set([
+const UNFORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
@@ -85,7 +85,7 @@
 ): Record<string, string> {
   const passed: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (!HEADERS_KEPT_BACK.has(name)) passed[name] = value;
+    if (!UNFORWARDED_HEADERS.has(name)) passed[name] = value;
   }
   return passed;
 }
@@ -131,11 +131,13 @@
     outcome: outcome === 'not-run' ? 'not-run' : 'unknown',
     code: String(body?.error?.code ?? 'refused'),
     message: String(body?.error?.message ?? 'the agent refused'),
-    retryAfterMs: body?.retryAfterMs || retryAfterOf(headers),
+    retryAfterMs: body?.retryAfterMs || parseRetryAfterMs(headers),
   };
 }
 
-function retryAfterOf(headers: Record<string, string>): number | undefined {
+function parseRetryAfterMs(
+  headers: Record<string, string>,
+): number | undefined {
   const seconds = Number(headers[HEADERS.retryAfter] ?? 0);
   return seconds > 0 ? seconds * MS_PER_SECOND : undefined;
 }
--- a/packages/banyanfold-entry/src/attempts/collectAnswer.ts
+++ b/packages/banyanfold-entry/src/attempts/collectAnswer.ts
@@ -10,10 +10,10 @@
  * @returns the answer, or why it can't be taken.
  */
 export async function collectAnswer(
-  opened: AttemptAnswer,
+  reply: AttemptAnswer,
   limitBytes: number,
 ): Promise<WholeAnswer | string> {
-  const {headers, body, status} = opened;
+  const {headers, body, status} = reply;
   // The loop below may be left before the error that its end gives comes.
   body.on('error', () => {});
   const lengthText = headers['content-length'];
--- a/packages/banyanfold-entry/src/attempts/finalError.ts
+++ b/packages/banyanfold-entry/src/attempts/finalError.ts
@@ -3,8 +3,8 @@
 import {ApiError, type ApiErrorCode} from '../http/apiErrors.js';
 import type {AttemptRefusal} from './attemptResponse.js';
 
-const UNREACHABLE_RETRY_MS = 1000;
-const REQUEST_FAULT_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
+const DEFAULT_RETRY_AFTER_MS = 1000;
+const INVALID_REQUEST_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
 
 /** The last attempt that brought no answer. */
 export type LastFailure =
@@ -44,21 +44,23 @@
  * @param outcome what is proved of all its attempts.
  */
 export function finalError(
-  last: LastFailure | undefined,
+  failure: LastFailure | undefined,
   refusal: ApiError | undefined,
   outcome: Outcome,
 ): ApiError {
-  if (!last) return refusal ?? new ApiError('internal', 'nothing was tried');
-  if (outcome === 'unknown') return unknownError(last);
-  if (last.kind === 'refused') return refusedError(last.refusal);
-  const code = last.reason === 'deadline' ? 'deadline_exceeded' : 'unreachable';
-  return new ApiError(code, `not run: ${last.reason}`, {
-    retryAfterMs: refusal?.retryAfterMs ?? UNREACHABLE_RETRY_MS,
+  if (!failure) return refusal ?? new ApiError('internal', 'nothing was tried');
+  if (outcome === 'unknown') return unknownOutcomeError(failure);
+  if (failure.kind === 'refused') return agentRefusalError(failure.refusal);
+  const code =
+    failure.reason === 'deadline' ? 'deadline_exceeded' : 'unreachable';
+  return new ApiError(code, `not run: ${failure.reason}`, {
+    retryAfterMs: refusal?.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS,
   });
 }
 
-function unknownError(last: LastFailure): ApiError {
-  const reason = last.kind === 'refused' ? last.refusal.message : last.reason;
+function unknownOutcomeError(failure: LastFailure): ApiError {
+  const reason =
+    failure.kind === 'refused' ? failure.refusal.message : failure.reason;
   const code = reason === 'deadline' ? 'deadline_exceeded' : 'outcome_unknown';
   const message = `it may have run; no answer came back: ${reason}`;
   return new ApiError(code, message, {outcome: 'unknown'});
@@ -66,15 +68,15 @@
 
 /** Whether an agent refused for what the caller sent. */
 export function isInvalidRequestRefusal({status}: AttemptRefusal): boolean {
-  return REQUEST_FAULT_STATUSES.has(status);
+  return INVALID_REQUEST_STATUSES.has(status);
 }
 
-function refusedError(refusal: AttemptRefusal): ApiError {
+function agentRefusalError(refusal: AttemptRefusal): ApiError {
   const {message, code, retryAfterMs} = refusal;
   if (isInvalidRequestRefusal(refusal)) {
     return new ApiError('invalid_request', `${code}: ${message}`);
   }
   return new ApiError('agent_refused', `${code}: ${message}`, {
-    retryAfterMs: retryAfterMs ?? UNREACHABLE_RETRY_MS,
+    retryAfterMs: retryAfterMs ?? DEFAULT_RETRY_AFTER_MS,
   });
 }
--- a/packages/banyanfold-entry/src/attempts/frameScanner.ts
+++ b/packages/banyanfold-entry/src/attempts/frameScanner.ts
@@ -36,46 +36,48 @@
   lastSeq = 0;
   /** Whether the end marker was passed on. */
   done = false;
-  private held: Buffer = Buffer.alloc(0);
-  private readonly prefix: Buffer;
+  private partialEvent: Buffer = Buffer.alloc(0);
+  private readonly ownIdPrefix: Buffer;
 
   constructor(private readonly options: FrameScannerOptions) {
-    this.prefix = Buffer.from(`id: ${options.attemptId}/`);
+    this.ownIdPrefix = Buffer.from(`id: ${options.attemptId}/`);
   }
 
   /** Forgets a partial event, before a resumed stream is read. */
   reset(): void {
-    this.held = Buffer.alloc(0);
+    this.partialEvent = Buffer.alloc(0);
   }
 
   /** Scans the next chunk; a partial event is held until it is complete. */
   scan(chunk: Buffer): ScanResult {
     const result: ScanResult = {events: [], fault: undefined, dropped: 0};
     const data =
-      this.held.length > 0 ? Buffer.concat([this.held, chunk]) : chunk;
+      this.partialEvent.length > 0
+        ? Buffer.concat([this.partialEvent, chunk])
+        : chunk;
     let start = 0;
     while (!this.done && result.fault === undefined) {
       const end = data.indexOf(EVENT_END, start);
       if (end < 0) break;
-      this.takeEvent(data.subarray(start, end + EVENT_END.length), result);
+      this.scanEvent(data.subarray(start, end + EVENT_END.length), result);
       start = end + EVENT_END.length;
     }
-    this.held = data.subarray(start);
-    if (this.held.length > this.options.maxEventBytes) {
+    this.partialEvent = data.subarray(start);
+    if (this.partialEvent.length > this.options.maxEventBytes) {
       result.fault = 'too-long';
     }
     return result;
   }
 
-  private takeEvent(event: Buffer, result: ScanResult): void {
+  private scanEvent(event: Buffer, result: ScanResult): void {
     if (event[0] === COLON) return;
-    if (!startsWith(event, this.prefix)) {
-      if (startsWith(event, ID_FIELD)) result.dropped++;
+    if (!bufferStartsWith(event, this.ownIdPrefix)) {
+      if (bufferStartsWith(event, ID_FIELD)) result.dropped++;
       else result.fault = 'malformed';
       return;
     }
-    const lineEnd = event.indexOf(LINE_FEED, this.prefix.length);
-    const seq = readNumber(event, this.prefix.length, lineEnd);
+    const lineEnd = event.indexOf(LINE_FEED, this.ownIdPrefix.length);
+    const seq = parseDecimal(event, this.ownIdPrefix.length, lineEnd);
     if (seq === undefined) {
       result.fault = 'malformed';
     } else if (seq <= this.lastSeq) {
@@ -93,12 +95,12 @@
 
 const ID_FIELD = Buffer.from('id: ');
 
-function startsWith(data: Buffer, prefix: Buffer): boolean {
+function bufferStartsWith(data: Buffer, prefix: Buffer): boolean {
   if (data.length < prefix.length) return false;
   return data.compare(prefix, 0, prefix.length, 0, prefix.length) === 0;
 }
 
-function readNumber(
+function parseDecimal(
   data: Buffer,
   start: number,
   end: number,
--- a/packages/banyanfold-entry/src/attempts/idleTimer.ts
+++ b/packages/banyanfold-entry/src/attempts/idleTimer.ts
@@ -1,14 +1,14 @@
 import type {Clock, Timer} from '@banyanfold/core';
 
 /** Share of the idle time that is waited once more before it calls back. */
-const CONFIRM_SHARE = 0.1;
+const RECHECK_SHARE = 0.1;
 
 /**
  * Calls back once nothing was noted for a while. It has one timer whatever the
  * number of events, as a timer for each chunk would cost more than the chunk.
  */
 export class IdleTimer {
-  private lastMs: number;
+  private lastActivityMs: number;
   private paused = false;
   private timer: Timer | undefined;
 
@@ -17,8 +17,8 @@
     private readonly idleMs: number,
     private readonly onIdle: () => void,
   ) {
-    this.lastMs = clock.nowMs();
-    this.arm(idleMs);
+    this.lastActivityMs = clock.nowMs();
+    this.schedule(idleMs);
   }
 
   /** Nothing counts as idle until the next `note`. */
@@ -28,18 +28,18 @@
 
   recordActivity(): void {
     this.paused = false;
-    this.lastMs = this.clock.nowMs();
+    this.lastActivityMs = this.clock.nowMs();
   }
 
   stop(): void {
     this.timer?.cancel();
   }
 
-  private arm(delayMs: number): void {
+  private schedule(delayMs: number): void {
     this.timer = this.clock.setTimer(delayMs, () => {
-      const leftMs = this.leftMs();
-      if (leftMs > 0) this.arm(leftMs);
-      else this.confirm();
+      const remainingMs = this.remainingMs();
+      if (remainingMs > 0) this.schedule(remainingMs);
+      else this.scheduleRecheck();
     });
   }
 
@@ -47,17 +47,17 @@
    * After a stall of this process its timers run before it reads what has come
    * in the meantime, and a stream that goes on would count as silent.
    */
-  private confirm(): void {
-    this.timer = this.clock.setTimer(this.idleMs * CONFIRM_SHARE, () => {
-      const leftMs = this.leftMs();
-      if (leftMs > 0) this.arm(leftMs);
+  private scheduleRecheck(): void {
+    this.timer = this.clock.setTimer(this.idleMs * RECHECK_SHARE, () => {
+      const remainingMs = this.remainingMs();
+      if (remainingMs > 0) this.schedule(remainingMs);
       else this.onIdle();
     });
   }
 
-  private leftMs(): number {
+  private remainingMs(): number {
     const nowMs = this.clock.nowMs();
-    if (this.paused) this.lastMs = nowMs;
-    return this.lastMs + this.idleMs - nowMs;
+    if (this.paused) this.lastActivityMs = nowMs;
+    return this.lastActivityMs + this.idleMs - nowMs;
   }
 }
--- a/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
+++ b/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
@@ -8,7 +8,7 @@
  * proved not to have started; whatever can't be proved counts as started.
  */
 export class OutcomeTracker {
-  private readonly open = new Set<Promise<void>>();
+  private readonly pending = new Set<Promise<void>>();
   private mayHaveStarted = false;
 
   /** Notes an attempt whose fate is known now. */
@@ -22,19 +22,19 @@
       .catch(() => false)
       .then(proved => {
         this.record(proved);
-        this.open.delete(settled);
+        this.pending.delete(settled);
       });
-    this.open.add(settled);
+    this.pending.add(settled);
   }
 
   /** Whether each attempt is proved, as far as known at this moment. */
   get allNeverStarted(): boolean {
-    return !this.mayHaveStarted && this.open.size === 0;
+    return !this.mayHaveStarted && this.pending.size === 0;
   }
 
   /** Waits for the seals, which have a time limit of their own. */
   async settle(): Promise<Outcome> {
-    await Promise.all(this.open);
+    await Promise.all(this.pending);
     return this.mayHaveStarted ? 'unknown' : 'not-run';
   }
 }
--- a/packages/banyanfold-entry/src/attempts/runAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/runAttempt.ts
@@ -12,7 +12,7 @@
 import {waitBeforeResume} from './waitBeforeResume.js';
 import {StreamRelay} from './streamRelay.js';
 
-const FIRST_SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** How one attempt ended. */
 export type AttemptResult =
@@ -37,7 +37,7 @@
   job.attempts++;
   try {
     const result = await new AttemptRun(options).run();
-    noteOutcome(agent, result);
+    recordOutcome(agent, result);
     return result;
   } finally {
     agent.attemptEnded(attemptId);
@@ -45,7 +45,7 @@
 }
 
 class AttemptRun {
-  private readonly stop = new AbortController();
+  private readonly abortController = new AbortController();
   private readonly sentMs: number;
   /** Whether the deadline ended the attempt. */
   private timedOut = false;
@@ -56,60 +56,60 @@
 
   async run(): Promise<AttemptResult> {
     const {context, job} = this.options;
-    const onGone = () => this.stop.abort();
-    job.signal.addEventListener('abort', onGone);
+    const onCallerGone = () => this.abortController.abort();
+    job.signal.addEventListener('abort', onCallerGone);
     const timer = context.clock.setTimer(
       job.wholeDeadlineMs - this.sentMs,
       () => {
         this.timedOut = true;
-        this.stop.abort();
+        this.abortController.abort();
       },
     );
     try {
-      return await this.exchange(() => timer.cancel());
+      return await this.execute(() => timer.cancel());
     } finally {
       timer.cancel();
-      job.signal.removeEventListener('abort', onGone);
+      job.signal.removeEventListener('abort', onCallerGone);
     }
   }
 
   /** `onFirstEvent` ends the deadline: a stream that runs isn't cut off. */
-  private async exchange(onFirstEvent: () => void): Promise<AttemptResult> {
+  private async execute(onFirstEvent: () => void): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
-    const opened = await context.transport.open({
+    const reply = await context.transport.open({
       agent,
       attemptId,
       path: job.path,
       headers: this.headers(),
       body: job.body,
-      signal: this.stop.signal,
+      signal: this.abortController.signal,
     });
-    const first = await this.take(opened, onFirstEvent);
-    if (!this.mayRecover(first)) return first;
-    return this.recover(first, onFirstEvent);
+    const first = await this.handleResponse(reply, onFirstEvent);
+    if (!this.canRecoverAnswer(first)) return first;
+    return this.recoverAnswer(first, onFirstEvent);
   }
 
   /**
    * One that may not be repeated is lost with its answer, unless the answer
    * can still be had: its agent keeps it for a while.
    */
-  private mayRecover(result: AttemptResult): boolean {
+  private canRecoverAnswer(result: AttemptResult): boolean {
     const {repeatable} = this.options.job.target.selector;
     return result.kind === 'failed' && !result.neverSent && !repeatable;
   }
 
-  private async recover(
+  private async recoverAnswer(
     first: AttemptResult,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
     const {resumeTries} = context.settings.attempts;
-    const {signal} = this.stop;
-    const address = {agent, attemptId, requestId: job.requestId, signal};
+    const {signal} = this.abortController;
+    const target = {agent, attemptId, requestId: job.requestId, signal};
     for (let tries = 0; tries < resumeTries && !signal.aborted; tries++) {
       await waitBeforeResume(context, tries);
-      const opened = await context.transport.resume(address, 0);
-      const result = await this.take(opened, onFirstEvent);
+      const reply = await context.transport.resume(target, 0);
+      const result = await this.handleResponse(reply, onFirstEvent);
       context.logger.warn('answer-resume', {
         request: job.requestId,
         attempt: attemptId,
@@ -123,29 +123,29 @@
     return first;
   }
 
-  private async take(
-    opened: AttemptResponse,
+  private async handleResponse(
+    reply: AttemptResponse,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent} = this.options;
     if (job.signal.aborted) return callerGone();
-    if (opened.kind === 'failed') {
-      return {...opened, reason: this.reasonOr(opened.reason)};
+    if (reply.kind === 'failed') {
+      return {...reply, reason: this.endReason(reply.reason)};
     }
-    const digest = parseLoadDigest(opened.headers);
+    const digest = parseLoadDigest(reply.headers);
     if (digest) agent.applyDigest(digest, context.clock.nowMs());
-    if (opened.kind === 'refused') return {kind: 'refused', refusal: opened};
-    if (this.isEngineFailure(opened)) {
-      opened.body.on('error', () => {}).resume();
-      return this.failed(`status-${opened.status}`);
+    if (reply.kind === 'refused') return {kind: 'refused', refusal: reply};
+    if (this.isEngineFailure(reply)) {
+      reply.body.on('error', () => {}).resume();
+      return this.failed(`status-${reply.status}`);
     }
-    return opened.isStream && job.target.kind !== 'service'
-      ? this.relay(opened, onFirstEvent)
-      : this.collect(opened);
+    return reply.isStream && job.target.kind !== 'service'
+      ? this.relay(reply, onFirstEvent)
+      : this.collect(reply);
   }
 
   private async relay(
-    opened: AttemptAnswer,
+    reply: AttemptAnswer,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
@@ -154,7 +154,7 @@
       job,
       agent,
       attemptId,
-      signal: this.stop.signal,
+      signal: this.abortController.signal,
       onFirstEvent: () => {
         onFirstEvent();
         const tookMs = context.clock.nowMs() - this.sentMs;
@@ -166,34 +166,34 @@
         );
       },
     });
-    const result = await relay.run(opened);
+    const result = await relay.run(reply);
     if (result.kind !== 'broken') return {kind: 'done', result};
-    const reason = this.reasonOr(result.reason);
+    const reason = this.endReason(result.reason);
     if (!result.started) return this.failed(reason);
     return {kind: 'done', result: {kind: 'broken', reason}};
   }
 
-  private async collect(opened: AttemptAnswer): Promise<AttemptResult> {
+  private async collect(reply: AttemptAnswer): Promise<AttemptResult> {
     const {context, job} = this.options;
     const {answerBytes} = context.settings.limits;
-    const answer = await collectAnswer(opened, answerBytes);
+    const answer = await collectAnswer(reply, answerBytes);
     if (job.signal.aborted) return callerGone();
-    if (typeof answer === 'string') return this.failed(this.reasonOr(answer));
+    if (typeof answer === 'string') return this.failed(this.endReason(answer));
     return {kind: 'done', result: {kind: 'answer', answer}};
   }
 
   /** A 5xx that no agent has signed comes from an engine in trouble. */
-  private isEngineFailure(opened: AttemptAnswer): boolean {
+  private isEngineFailure(reply: AttemptAnswer): boolean {
     const {target} = this.options.job;
     if (target.kind === 'service' || !target.selector.repeatable) return false;
-    return opened.status >= FIRST_SERVER_ERROR;
+    return reply.status >= MIN_SERVER_ERROR_STATUS;
   }
 
   private failed(reason: string): AttemptResult {
     return {kind: 'failed', neverSent: false, reason};
   }
 
-  private reasonOr(reason: string): string {
+  private endReason(reason: string): string {
     return this.timedOut ? 'deadline' : reason;
   }
 
@@ -229,7 +229,7 @@
 }
 
 /** A refusal is no failure: the agent works, and says that it is full. */
-function noteOutcome(agent: AgentState, result: AttemptResult): void {
+function recordOutcome(agent: AgentState, result: AttemptResult): void {
   if (result.kind === 'failed') agent.recordFailure();
   if (result.kind !== 'done') return;
   const {kind} = result.result;
--- a/packages/banyanfold-entry/src/attempts/runRequest.ts
+++ b/packages/banyanfold-entry/src/attempts/runRequest.ts
@@ -29,9 +29,9 @@
 }
 
 class RequestRun {
-  private readonly proof = new OutcomeTracker();
+  private readonly outcomes = new OutcomeTracker();
   private readonly triedVmIds: string[] = [];
-  private last: LastFailure | undefined;
+  private lastFailure: LastFailure | undefined;
 
   constructor(
     private readonly context: EntryContext,
@@ -44,30 +44,30 @@
       if (this.job.signal.aborted) return {kind: 'caller-gone'};
       const decision = routeAttempt(this.context, this.job, this.triedVmIds);
       if (decision.kind === 'refuse') {
-        this.noteMiss(decision.code);
+        this.countMiss(decision.code);
         return this.fail(routeRefusalError(decision));
       }
       const agent = this.context.view.agent(decision.vmId)!;
       this.triedVmIds.push(agent.vmId);
-      const result = await this.attemptAt(agent);
+      const result = await this.attemptOn(agent);
       if (result.kind === 'done') return result.result;
-      if (!(await this.mayRetry())) return this.fail(undefined);
+      if (!(await this.prepareRetry())) return this.fail(undefined);
     }
   }
 
-  private async attemptAt(agent: AgentState): Promise<AttemptResult> {
+  private async attemptOn(agent: AgentState): Promise<AttemptResult> {
     const {context, job} = this;
-    const seal = {agent, attemptId: uuidV4(), incarnation: agent.incarnation};
-    const result = await runAttempt({context, job, ...seal});
-    this.logEnd(seal, result);
+    const target = {agent, attemptId: uuidV4(), incarnation: agent.incarnation};
+    const result = await runAttempt({context, job, ...target});
+    this.logAttempt(target, result);
     if (result.kind === 'refused') {
-      this.proof.record(result.refusal.outcome === 'not-run');
-      this.last = result;
+      this.outcomes.record(result.refusal.outcome === 'not-run');
+      this.lastFailure = result;
     } else if (result.kind === 'failed') {
-      this.last = result;
-      await this.proveFailed(seal, result.neverSent);
+      this.lastFailure = result;
+      await this.resolveFailedAttempt(target, result.neverSent);
     } else {
-      this.stopAbandoned(seal, result.result);
+      this.stopAbandoned(target, result.result);
     }
     return result;
   }
@@ -77,27 +77,27 @@
    * and tells which. One that may not be repeated waits for that before
    * anything else is tried; for others it is only needed for a refusal.
    */
-  private async proveFailed(
-    seal: SealTarget,
+  private async resolveFailedAttempt(
+    target: SealTarget,
     neverSent: boolean,
   ): Promise<void> {
     if (neverSent) {
-      this.proof.record(true);
+      this.outcomes.record(true);
       return;
     }
-    this.proof.recordPending(sealAttempt(this.context, seal));
-    if (!this.job.target.selector.repeatable) await this.proof.settle();
+    this.outcomes.recordPending(sealAttempt(this.context, target));
+    if (!this.job.target.selector.repeatable) await this.outcomes.settle();
   }
 
   /** A stream nobody reads any more must not hold an accelerator. */
-  private stopAbandoned(seal: SealTarget, result: RequestResult): void {
+  private stopAbandoned(target: SealTarget, result: RequestResult): void {
     if (result.kind === 'caller-gone' || result.kind === 'broken') {
-      void sealAttempt(this.context, seal);
+      void sealAttempt(this.context, target);
     }
   }
 
-  private async mayRetry(): Promise<boolean> {
-    if (isFinalRefusal(this.last)) return false;
+  private async prepareRetry(): Promise<boolean> {
+    if (isFinalRefusal(this.lastFailure)) return false;
     const {context, job} = this;
     const decision = this.decideRetry();
     context.logger.info('retry', {
@@ -121,7 +121,7 @@
           attemptsMade: this.triedVmIds.length,
           budgetTokens,
           firstByteSent: job.callerStream.started,
-          allNeverStarted: this.proof.allNeverStarted,
+          allNeverStarted: this.outcomes.allNeverStarted,
           repeatable: job.target.selector.repeatable,
           remainingBudgetMs: job.wholeDeadlineMs - nowMs,
         },
@@ -136,23 +136,27 @@
   }
 
   private async fail(refusal: ApiError | undefined): Promise<RequestResult> {
-    const outcome = await this.proof.settle();
-    return {kind: 'failed', error: finalError(this.last, refusal, outcome)};
+    const outcome = await this.outcomes.settle();
+    return {
+      kind: 'failed',
+      error: finalError(this.lastFailure, refusal, outcome),
+    };
   }
 
-  private noteMiss(code: string): void {
+  private countMiss(code: string): void {
     if (code === 'no-copy') this.context.misses.add(this.job.target.artifact);
   }
 
-  private logEnd(seal: SealTarget, result: AttemptResult): void {
+  private logAttempt(target: SealTarget, result: AttemptResult): void {
     const {context, job} = this;
-    const ended = result.kind === 'done' ? result.result.kind : result.kind;
-    context.metrics.count('attempts_total', {result: ended});
+    const resultKind =
+      result.kind === 'done' ? result.result.kind : result.kind;
+    context.metrics.count('attempts_total', {result: resultKind});
     context.logger.info('attempt', {
       request: job.requestId,
-      attempt: seal.attemptId,
-      agent: seal.agent.vmId,
-      result: ended,
+      attempt: target.attemptId,
+      agent: target.agent.vmId,
+      result: resultKind,
       reason: reasonOf(result),
     });
   }
@@ -165,6 +169,9 @@
 }
 
 /** The request itself is at fault; every agent would say the same. */
-function isFinalRefusal(last: LastFailure | undefined): boolean {
-  return last?.kind === 'refused' && isInvalidRequestRefusal(last.refusal);
+function isFinalRefusal(lastFailure: LastFailure | undefined): boolean {
+  return (
+    lastFailure?.kind === 'refused' &&
+    isInvalidRequestRefusal(lastFailure.refusal)
+  );
 }
--- a/packages/banyanfold-entry/src/attempts/streamRelay.ts
+++ b/packages/banyanfold-entry/src/attempts/streamRelay.ts
@@ -38,21 +38,21 @@
     });
   }
 
-  async run(opened: AttemptAnswer): Promise<RelayResult> {
+  async run(reply: AttemptAnswer): Promise<RelayResult> {
     const {job, context} = this.options;
     const {resumeTries} = context.settings.attempts;
-    let body: Body | undefined = opened.body;
+    let body: Body | undefined = reply.body;
     let triesLeft = resumeTries;
     let reason = '';
     for (;;) {
       if (body) {
         const seqBefore = this.scanner.lastSeq;
-        reason = await this.pump(body, opened);
+        reason = await this.forwardEvents(body, reply);
         if (this.scanner.done) return {kind: 'streamed'};
         if (this.scanner.lastSeq > seqBefore) triesLeft = resumeTries;
       }
       if (job.signal.aborted) return {kind: 'caller-gone'};
-      if (this.mayRunElsewhere() || triesLeft === 0) break;
+      if (this.canRetryElsewhere() || triesLeft === 0) break;
       await waitBeforeResume(context, resumeTries - triesLeft);
       triesLeft--;
       const resumed = await this.resume(reason);
@@ -63,60 +63,63 @@
   }
 
   /** Passes on what comes; the answer says why it stopped. */
-  private async pump(body: Body, opened: AttemptAnswer): Promise<string> {
+  private async forwardEvents(
+    body: Body,
+    reply: AttemptAnswer,
+  ): Promise<string> {
     const {context, job} = this.options;
     const {clock, settings} = context;
     let fault: string | undefined;
-    const stop = (why: string) => {
-      fault ??= why;
+    const stop = (reason: string) => {
+      fault ??= reason;
       body.destroy();
     };
-    const idle = new IdleTimer(clock, settings.attempts.streamIdleMs, () =>
+    const idleTimer = new IdleTimer(clock, settings.attempts.streamIdleMs, () =>
       stop('idle'),
     );
     // The loop below may be left before the error that `destroy` gives comes;
     // unheard, it would end the whole process.
     body.on('error', () => {});
-    const onGone = () => stop('caller-gone');
-    job.signal.addEventListener('abort', onGone);
+    const onCallerGone = () => stop('caller-gone');
+    job.signal.addEventListener('abort', onCallerGone);
     this.scanner.reset();
     try {
       // Not destroyed when the loop is left: after the end marker the rest of
       // the answer is read off, so that its connection can be used again.
       const chunks = body.iterator({destroyOnReturn: false});
       for await (const chunk of chunks as AsyncIterable<Buffer>) {
-        idle.recordActivity();
+        idleTimer.recordActivity();
         const frames = this.scanner.scan(chunk);
-        this.noteDropped(frames.dropped);
+        this.recordDropped(frames.dropped);
         // A caller that reads slowly is not an agent that sends nothing.
-        idle.pause();
-        if (frames.events.length > 0) await this.pass(frames.events, opened);
-        idle.recordActivity();
+        idleTimer.pause();
+        if (frames.events.length > 0) await this.write(frames.events, reply);
+        idleTimer.recordActivity();
         if (frames.fault) stop(frames.fault);
         if (this.scanner.done || fault) break;
       }
     } catch (error) {
       fault ??= (error as {code?: string}).code ?? 'broken';
     } finally {
-      idle.stop();
-      job.signal.removeEventListener('abort', onGone);
+      idleTimer.stop();
+      job.signal.removeEventListener('abort', onCallerGone);
     }
     if (this.scanner.done) body.resume();
     return fault ?? 'ended-early';
   }
 
-  private async pass(slices: Buffer[], opened: AttemptAnswer): Promise<void> {
+  private async write(events: Buffer[], reply: AttemptAnswer): Promise<void> {
     const {job, onFirstEvent} = this.options;
     if (!this.firstEventSent) {
       this.firstEventSent = true;
-      job.callerStream.begin(opened.status, forwardableHeaders(opened.headers));
+      job.callerStream.begin(reply.status, forwardableHeaders(reply.headers));
       onFirstEvent();
     }
-    await job.callerStream.write(slices, this.scanner.done);
+    await job.callerStream.write(events, this.scanner.done);
   }
 
   /** Nothing was sent yet and it may be repeated: a fresh try is simpler. */
-  private mayRunElsewhere(): boolean {
+  private canRetryElsewhere(): boolean {
     const {job} = this.options;
     return !job.callerStream.started && job.target.selector.repeatable;
   }
@@ -124,22 +127,22 @@
   private async resume(reason: string): Promise<Body | 'gone' | undefined> {
     const {context, agent, attemptId, job, signal} = this.options;
     const {lastSeq} = this.scanner;
-    const opened = await this.openWithin(
+    const reply = await this.openWithTimeout(
       context.settings.attempts.resumeMs,
-      limit =>
+      timeout =>
         context.transport.resume(
           {
             agent,
             attemptId,
             requestId: job.requestId,
-            signal: AbortSignal.any([signal, limit]),
+            signal: AbortSignal.any([signal, timeout]),
           },
           lastSeq,
         ),
     );
-    const isOpen = opened.kind === 'answered' && opened.isStream;
+    const isOpen = reply.kind === 'answered' && reply.isStream;
     context.metrics.count('stream_resumes_total', {
-      result: isOpen ? 'resumed' : opened.kind,
+      result: isOpen ? 'resumed' : reply.kind,
     });
     context.logger.warn('stream-resume', {
       request: job.requestId,
@@ -147,29 +150,29 @@
       agent: agent.vmId,
       lastSeq,
       reason,
-      result: isOpen ? 'resumed' : opened.kind,
+      result: isOpen ? 'resumed' : reply.kind,
     });
-    if (isOpen) return opened.body;
-    if (opened.kind === 'failed') return undefined;
+    if (isOpen) return reply.body;
+    if (reply.kind === 'failed') return undefined;
     // The agent answered, and has the stream no more.
-    if (opened.kind === 'answered') opened.body.on('error', () => {}).destroy();
+    if (reply.kind === 'answered') reply.body.on('error', () => {}).destroy();
     return 'gone';
   }
 
   /** An agent that takes the connection and hangs must not hold the caller. */
-  private async openWithin<T>(
-    limitMs: number,
-    open: (limit: AbortSignal) => Promise<T>,
+  private async openWithTimeout<T>(
+    timeoutMs: number,
+    open: (timeout: AbortSignal) => Promise<T>,
   ): Promise<T> {
-    const limit = new AbortController();
+    const timeout = new AbortController();
     const {clock} = this.options.context;
-    const timer = clock.setTimer(limitMs, () => limit.abort());
-    const opened = await open(limit.signal);
+    const timer = clock.setTimer(timeoutMs, () => timeout.abort());
+    const reply = await open(timeout.signal);
     timer.cancel();
-    return opened;
+    return reply;
   }
 
-  private noteDropped(dropped: number): void {
+  private recordDropped(dropped: number): void {
     if (dropped === 0) return;
     const {context, attemptId, agent} = this.options;
     context.metrics.count('frames_dropped_total', {}, dropped);
--- a/packages/banyanfold-entry/src/attempts/waitBeforeResume.ts
+++ b/packages/banyanfold-entry/src/attempts/waitBeforeResume.ts
@@ -8,13 +8,13 @@
  */
 export async function waitBeforeResume(
   {clock, random, settings}: EntryContext,
-  triesMade: number,
+  previousTries: number,
 ): Promise<void> {
-  if (triesMade === 0) return;
+  if (previousTries === 0) return;
   const {resumeBackoffMs, resumeBackoffMaxMs} = settings.attempts;
   const ceilingMs = Math.min(
     resumeBackoffMaxMs,
-    resumeBackoffMs * 2 ** triesMade,
+    resumeBackoffMs * 2 ** previousTries,
   );
   await sleep(clock, (ceilingMs * (1 + random())) / 2);
 }
--- a/packages/banyanfold-entry/src/http/callerStream.ts
+++ b/packages/banyanfold-entry/src/http/callerStream.ts
@@ -6,15 +6,15 @@
 export class CallerStream {
   /** Aborted when the caller goes away before its answer is whole. */
   readonly signal: AbortSignal;
-  private readonly gone = new AbortController();
+  private readonly disconnect = new AbortController();
 
   constructor(
     private readonly res: ServerResponse,
-    private readonly limit: StallLimit,
+    private readonly stallLimit: StallLimit,
   ) {
-    this.signal = this.gone.signal;
+    this.signal = this.disconnect.signal;
     res.once('close', () => {
-      if (!res.writableFinished) this.gone.abort();
+      if (!res.writableFinished) this.disconnect.abort();
     });
   }
 
@@ -31,16 +31,16 @@
    * Writes events in one go, and with the last ones the end; resolves when the
    * caller takes more.
    */
-  async write(slices: readonly Buffer[], isLast = false): Promise<void> {
+  async write(events: readonly Buffer[], isLast = false): Promise<void> {
     const {res} = this;
     if (res.destroyed) return;
-    let hasRoom = true;
+    let canWriteMore = true;
     res.cork();
-    for (const slice of slices) hasRoom = res.write(slice);
+    for (const slice of events) canWriteMore = res.write(slice);
     if (isLast) res.end();
     res.uncork();
     if (isLast) return;
-    if (!hasRoom) await waitForFlush(res, 'drain', this.limit);
+    if (!canWriteMore) await waitForFlush(res, 'drain', this.stallLimit);
   }
 
   /**
--- a/packages/banyanfold-entry/src/http/callers.ts
+++ b/packages/banyanfold-entry/src/http/callers.ts
@@ -4,12 +4,12 @@
 import type {CallerSettings} from '../settings.js';
 import {ApiError} from './apiErrors.js';
 
-const CONCURRENCY_RETRY_MS = 1000;
+const CONCURRENCY_RETRY_AFTER_MS = 1000;
 
 interface KnownCaller {
   settings: CallerSettings;
   keyDigest: Buffer;
-  open: number;
+  openRequests: number;
 }
 
 /** A caller whose key was right, holding one of its places. */
@@ -26,40 +26,40 @@
     this.callers = callers.map(settings => ({
       settings,
       keyDigest: digest(settings.key),
-      open: 0,
+      openRequests: 0,
     }));
   }
 
   /** @throws ApiError `invalid_api_key`. */
   authenticate(req: IncomingMessage): CallerSettings {
-    return this.find(req).settings;
+    return this.findByKey(req).settings;
   }
 
   /** @throws ApiError `invalid_api_key` or `too_many_requests`. */
   admit(req: IncomingMessage): AdmittedCaller {
-    const caller = this.find(req);
-    if (caller.open >= caller.settings.maxConcurrent) {
+    const caller = this.findByKey(req);
+    if (caller.openRequests >= caller.settings.maxConcurrent) {
       throw new ApiError(
         'too_many_requests',
         `more than ${caller.settings.maxConcurrent} requests at once`,
-        {retryAfterMs: CONCURRENCY_RETRY_MS},
+        {retryAfterMs: CONCURRENCY_RETRY_AFTER_MS},
       );
     }
-    caller.open++;
-    let held = true;
+    caller.openRequests++;
+    let isHeld = true;
     const release = () => {
-      if (held) caller.open--;
-      held = false;
+      if (isHeld) caller.openRequests--;
+      isHeld = false;
     };
     return {settings: caller.settings, release};
   }
 
   /** Compares with every key, so that time tells nothing of which is near. */
-  private find(req: IncomingMessage): KnownCaller {
-    const given = digest(bearerKey(req.headers.authorization) ?? '');
+  private findByKey(req: IncomingMessage): KnownCaller {
+    const givenDigest = digest(bearerKey(req.headers.authorization) ?? '');
     let found: KnownCaller | undefined;
     for (const caller of this.callers) {
-      if (timingSafeEqual(given, caller.keyDigest)) found = caller;
+      if (timingSafeEqual(givenDigest, caller.keyDigest)) found = caller;
     }
     if (!found) {
       throw new ApiError('invalid_api_key', 'the API key is missing or wrong');
--- a/packages/banyanfold-entry/src/http/inference.ts
+++ b/packages/banyanfold-entry/src/http/inference.ts
@@ -12,7 +12,7 @@
 import {readBody} from './readBody.js';
 import {waitForFlush, type StallLimit} from './waitForFlush.js';
 
-const OVERLOADED_RETRY_MS = 1000;
+const OVERLOADED_RETRY_AFTER_MS = 1000;
 
 /** A call that reaches a model or a service. */
 export interface InferenceCall {
@@ -36,7 +36,7 @@
     try {
       if (lifecycle.open > settings.limits.maxOpenRequests) {
         throw new ApiError('overloaded', 'too many requests are open here', {
-          retryAfterMs: OVERLOADED_RETRY_MS,
+          retryAfterMs: OVERLOADED_RETRY_AFTER_MS,
         });
       }
       await this.serve(call, caller.settings);
@@ -66,13 +66,13 @@
     };
     const job = acceptRequest(context, options);
     const result = await this.run(job);
-    this.logEnd(job, result);
-    await this.answer(res, job, result);
+    this.logResult(job, result);
+    await this.sendAnswer(res, job, result);
     for (const plugin of this.plugins) plugin.requestEnded?.(job, result);
   }
 
   private async run(job: RequestJob): Promise<RequestResult> {
-    this.requireGuard(job);
+    this.requireIdempotencyGuard(job);
     let next: NextStep = () => runRequest(this.context, job);
     for (const plugin of [...this.plugins].reverse()) {
       const inner = next;
@@ -89,13 +89,13 @@
   }
 
   /** Without its guard a request that may not be repeated isn't run at all. */
-  private requireGuard(job: RequestJob): void {
+  private requireIdempotencyGuard(job: RequestJob): void {
     if (job.target.selector.repeatable) return;
     if (this.plugins.some(plugin => plugin.guardsNonRepeatable)) return;
     throw new ApiError('not_ready', 'this entry runs no idempotency plug-in');
   }
 
-  private async answer(
+  private async sendAnswer(
     res: ServerResponse,
     job: RequestJob,
     result: RequestResult,
@@ -119,7 +119,7 @@
     return {clock, stallMs: settings.limits.callerStallMs};
   }
 
-  private logEnd(job: RequestJob, result: RequestResult): void {
+  private logResult(job: RequestJob, result: RequestResult): void {
     const {logger, clock} = this.context;
     const error = result.kind === 'failed' ? result.error : undefined;
     logger.info('request', {
--- a/packages/banyanfold-entry/src/http/readBody.ts
+++ b/packages/banyanfold-entry/src/http/readBody.ts
@@ -11,19 +11,19 @@
   limitBytes: number,
 ): Promise<Buffer> {
   const declaredBytes = Number(req.headers['content-length'] ?? 0);
-  if (declaredBytes > limitBytes) throw tooLarge(limitBytes);
+  if (declaredBytes > limitBytes) throw bodyTooLargeError(limitBytes);
   const chunks: Buffer[] = [];
   let sizeBytes = 0;
-  for await (const chunk of wholeBodyOf(req)) {
+  for await (const chunk of readChunks(req)) {
     sizeBytes += chunk.length;
-    if (sizeBytes > limitBytes) throw tooLarge(limitBytes);
+    if (sizeBytes > limitBytes) throw bodyTooLargeError(limitBytes);
     chunks.push(chunk);
   }
   return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
 }
 
 /** A caller that goes away in its body is no error of ours. */
-async function* wholeBodyOf(req: IncomingMessage): AsyncIterable<Buffer> {
+async function* readChunks(req: IncomingMessage): AsyncIterable<Buffer> {
   try {
     yield* req as AsyncIterable<Buffer>;
   } catch {
@@ -31,7 +31,7 @@
   }
 }
 
-function tooLarge(limitBytes: number): ApiError {
+function bodyTooLargeError(limitBytes: number): ApiError {
   return new ApiError(
     'body_too_large',
     `the body is larger than ${limitBytes} bytes; send a shorter one`,
--- a/packages/banyanfold-entry/src/http/routes.ts
+++ b/packages/banyanfold-entry/src/http/routes.ts
@@ -37,7 +37,7 @@
     }
     const route = routes.get(path) ?? serviceRoute(options, path);
     serveRoute(route, req, res).catch((error: unknown) =>
-      answerThrown(context, path, res, error),
+      handleError(context, path, res, error),
     );
   };
 }
@@ -73,7 +73,7 @@
 ): Route | undefined {
   if (!path.startsWith(SERVICES_PREFIX)) return undefined;
   const service = path.slice(SERVICES_PREFIX.length).split('/', 1)[0]!;
-  if (service === '' || path.split('/').some(isDots)) return undefined;
+  if (service === '' || path.split('/').some(isDotSegment)) return undefined;
   return {
     method: 'POST',
     handle: (req, res) =>
@@ -87,7 +87,7 @@
 }
 
 /** `/services/a/../b` would leave the path that the service is offered at. */
-function isDots(segment: string): boolean {
+function isDotSegment(segment: string): boolean {
   return /^(\.|%2e){1,2}$/i.test(segment);
 }
 
@@ -144,7 +144,7 @@
   res.end(body);
 }
 
-function answerThrown(
+function handleError(
   context: EntryContext,
   path: string,
   res: ServerResponse,
--- a/packages/banyanfold-entry/src/requests/acceptRequest.ts
+++ b/packages/banyanfold-entry/src/requests/acceptRequest.ts
@@ -9,9 +9,9 @@
 import {prefixHashOf} from './parseRequest.js';
 import type {RequestMetadata, RequestJob} from './types.js';
 
-const RETRY_WHEN_READY_MS = 1000;
+const NOT_READY_RETRY_AFTER_MS = 1000;
 
-const RESOLVE_ERRORS: Record<string, ApiErrorCode> = {
+const RESOLVE_ERROR_CODES: Record<string, ApiErrorCode> = {
   forbidden: 'not_allowed',
   'unknown-name': 'model_not_found',
   'no-selector': 'model_not_found',
@@ -40,7 +40,7 @@
   const {configWatch} = context;
   if (configWatch.current && configWatch.ready) return configWatch.current;
   throw new ApiError('not_ready', 'no configuration is known here yet', {
-    retryAfterMs: RETRY_WHEN_READY_MS,
+    retryAfterMs: NOT_READY_RETRY_AFTER_MS,
   });
 }
 
@@ -84,20 +84,20 @@
   options: AcceptOptions,
 ): RequestJob {
   const {req, caller, metadata, path, body, callerStream, startedMs} = options;
-  const asker = identifyCaller(req, caller);
-  const target = resolveTarget(requireConfig(context), asker, metadata);
+  const identity = identifyCaller(req, caller);
+  const target = resolveTarget(requireConfig(context), identity, metadata);
   const {targets, repeatable} = target.selector;
   return {
     requestId: uuidV4(),
-    caller: asker.caller,
-    desk: asker.desk,
+    caller: identity.caller,
+    desk: identity.desk,
     target,
     metadata,
     prefixHash: prefixHashOf(target.artifact, metadata.prefixText),
     path,
     contentType: req.headers['content-type'] ?? 'application/json',
     body,
-    idempotencyKey: asker.headers[HEADERS.idempotencyKey],
+    idempotencyKey: identity.headers[HEADERS.idempotencyKey],
     startedMs,
     firstTokenDeadlineMs: startedMs + targets.firstTokenMs,
     wholeDeadlineMs: startedMs + targets.wholeAnswerMs,
@@ -109,13 +109,13 @@
 
 function resolveTarget(
   config: CompiledConfig,
-  asker: CallerIdentity,
+  identity: CallerIdentity,
   {requestedName, isService}: RequestMetadata,
 ): ResolvedTarget {
-  const resolved = config.resolve({...asker, requestedName});
+  const resolved = config.resolve({...identity, requestedName});
   if (resolved.isErr()) {
     const {code, message} = resolved.error;
-    throw new ApiError(RESOLVE_ERRORS[code] ?? 'internal', message);
+    throw new ApiError(RESOLVE_ERROR_CODES[code] ?? 'internal', message);
   }
   const target = resolved.value;
   if ((target.kind === 'service') !== isService) {
--- a/packages/banyanfold-entry/src/routing/routeAttempt.ts
+++ b/packages/banyanfold-entry/src/routing/routeAttempt.ts
@@ -10,7 +10,7 @@
 import type {RequestJob} from '../requests/types.js';
 
 /** A log line stays readable with many runners. */
-const REASONS_LOGGED = 8;
+const MAX_LOGGED_REASONS = 8;
 
 /** Decides where the next attempt of a request goes, and logs why. */
 export function routeAttempt(
@@ -78,7 +78,7 @@
   context: EntryContext,
   job: RequestJob,
   decision: RoutingDecision,
-  tried: number,
+  triedCount: number,
 ): void {
   const isRoute = decision.kind === 'route';
   context.metrics.count('route_decisions_total', {
@@ -90,7 +90,7 @@
     desk: job.desk,
     selector: job.target.selector.name,
     artifact: job.target.artifact,
-    attempt: tried + 1,
+    attempt: triedCount + 1,
     decision: isRoute ? decision.vmId : `refuse:${decision.code}`,
     delayMs: isRoute ? Math.round(decision.estimatedDelayMs) : undefined,
     retryAfterMs: isRoute ? undefined : Math.round(decision.retryAfterMs),
@@ -101,9 +101,11 @@
 /** `agent-1:12:chosen-wait,agent-2:-:no-copy`, the best ones first. */
 export function renderReasons(reasons: readonly CandidateReason[]): string {
   const sorted = [...reasons].sort((a, b) => a.scoreMs - b.scoreMs);
-  const shown = sorted.slice(0, REASONS_LOGGED).map(renderReason);
-  const hidden = sorted.length - shown.length;
-  return hidden > 0 ? `${shown.join(',')},+${hidden}` : shown.join(',');
+  const shown = sorted.slice(0, MAX_LOGGED_REASONS).map(renderReason);
+  const omittedCount = sorted.length - shown.length;
+  return omittedCount > 0
+    ? `${shown.join(',')},+${omittedCount}`
+    : shown.join(',');
 }
 
 function renderReason({vmId, scoreMs, reason}: CandidateReason): string {
