--- a/packages/banyanfold-entry/src/attempts/attemptResponse.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptResponse.ts
@@ -8,7 +8,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Headers that are this hop's own and are never passed on. */
+/** Hop-by-hop and internal headers, which are not forwarded to the caller. */
 const UNFORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -17,7 +17,7 @@
   HEADERS.load,
 ]);
 
-/** Failures before a connection stood: no byte of a request was sent. */
+/** Errors before a connection was established: no byte was sent. */
 const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -25,7 +25,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** An agent's answer whose head was checked. */
+/** An agent's answer whose attempt id matches; the body is not yet read. */
 export interface AttemptAnswer {
   kind: 'answered';
   status: number;
@@ -34,7 +34,7 @@
   body: Dispatcher.ResponseData['body'];
 }
 
-/** A refusal in the agent's own words. */
+/** A refusal by the agent. */
 export interface AttemptRefusal {
   kind: 'refused';
   status: number;
@@ -45,24 +45,27 @@
   retryAfterMs: number | undefined;
 }
 
-/** No answer, or one that can't be trusted. */
+/** No answer, or an answer to another attempt. */
 export interface AttemptFailure {
   kind: 'failed';
-  /** True when it is proved that no byte of the request was sent. */
+  /** True if no byte of the request can have been sent. */
   neverSent: boolean;
   reason: string;
 }
 
 export type AttemptResponse = AttemptAnswer | AttemptRefusal | AttemptFailure;
 
-/** Checks the head of an agent's answer to an attempt. */
+/**
+ * Classifies an agent's response by its headers. The body of a refusal is read,
+ * that of an answer is left to the caller.
+ */
 export async function readAttemptResponse(
   attemptId: string,
   response: Dispatcher.ResponseData,
 ): Promise<AttemptResponse> {
   const headers = flattenHeaders(response.headers);
   if (headers[HEADERS.attemptId] !== attemptId) {
-    // A crossed or late answer. Its connection can't be trusted either.
+    // The answer belongs to another attempt, so the connection is closed too.
     response.body.on('error', () => {}).destroy();
     return {kind: 'failed', neverSent: false, reason: 'wrong-echo'};
   }
@@ -79,7 +82,7 @@
   };
 }
 
-/** The headers of an agent's answer that the caller gets. */
+/** Returns the headers of an agent's answer that are sent to the caller. */
 export function forwardableHeaders(
   headers: Record<string, string>,
 ): Record<string, string> {
@@ -90,7 +93,7 @@
   return passed;
 }
 
-/** The load that rides on an answer, or undefined when it can't be read. */
+/** Parses the load header of an answer; undefined if absent or invalid. */
 export function parseLoadDigest(
   headers: Record<string, string>,
 ): LoadDigest | undefined {
@@ -103,7 +106,9 @@
   }
 }
 
-/** What a failed call proves. */
+/**
+ * Classifies the error of a failed call by whether a byte may have been sent.
+ */
 export function failureFromError(error: unknown): AttemptFailure {
   const {code, syscall, name} = error as {
     code?: string;
--- a/packages/banyanfold-entry/src/attempts/attemptTransport.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptTransport.ts
@@ -8,19 +8,19 @@
   type AttemptResponse,
 } from './attemptResponse.js';
 
-/** Which attempt is meant, and at which agent. */
+/** An attempt, its agent, and the signal that aborts a call about it. */
 export interface AttemptTarget {
   agent: AgentState;
   attemptId: string;
   signal: AbortSignal;
 }
 
-/** Comes back for an attempt's answer. */
+/** Fetches the rest of an attempt's answer from its agent. */
 export interface ResumeRequest extends AttemptTarget {
   requestId: string;
 }
 
-/** One attempt as it goes to an agent. */
+/** An attempt to send to an agent. */
 export interface AttemptRequest extends AttemptTarget {
   /** `v1/chat/completions`, or `services/{service}/{path…}`. */
   path: string;
@@ -31,9 +31,10 @@
 /**
  * Sends attempts to agents over HTTP/1.1.
  *
- * Each request has a connection to itself (pipelining 1) and is sent once:
- * undici fails a request whose keep-alive connection broke instead of sending
- * it again, so no request that may not be repeated runs twice behind our back.
+ * Each connection carries one request at a time (pipelining 1), and each
+ * request is sent once: if a keep-alive connection breaks, undici fails the
+ * request instead of resending it. A resent request that may not be repeated
+ * could run twice.
  */
 export class AttemptTransport {
   private readonly dispatcher: Agent;
@@ -43,13 +44,13 @@
       pipelining: 1,
       connections: settings.attempts.connectionsPerAgent,
       connect: {timeout: settings.attempts.connectMs},
-      // Deadlines come from the request's own budget, on the clock.
+      // The request's own deadline, run on the injected clock, limits both.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
   }
 
-  /** Sends an attempt and waits for the head of its answer. */
+  /** Sends an attempt and waits for the headers of its answer. */
   async open(request: AttemptRequest): Promise<AttemptResponse> {
     return this.send(request, {
       method: 'POST',
@@ -59,7 +60,7 @@
     });
   }
 
-  /** Asks for a stream's events after `lastSeq`, or for a whole answer. */
+  /** Requests a stream's events after `lastSeq`, or a whole answer (0). */
   async resume(
     request: ResumeRequest,
     lastSeq: number,
@@ -69,7 +70,7 @@
       path: `${PATHS.attempt}${request.attemptId}`,
       headers: {
         [HEADERS.lastEventId]: String(lastSeq),
-        // An agent that was restarted asks the engine by both ids.
+        // A restarted agent needs both ids to query the engine.
         [HEADERS.requestId]: request.requestId,
       },
     });
--- a/packages/banyanfold-entry/src/attempts/collectAnswer.ts
+++ b/packages/banyanfold-entry/src/attempts/collectAnswer.ts
@@ -2,19 +2,20 @@
 import {forwardableHeaders, type AttemptAnswer} from './attemptResponse.js';
 
 /**
- * Reads an answer that isn't streamed, to its end.
+ * Reads the whole body of an answer that isn't streamed.
  *
- * A connection that breaks in an answer without a length looks like its end.
- * Such an answer is not taken, so that no part can pass for the whole.
+ * An answer with neither a length nor chunked encoding ends with its
+ * connection, so a broken connection would make a partial body look complete.
+ * Such an answer is rejected.
  *
- * @returns the answer, or why it can't be taken.
+ * @returns the answer, or the reason for rejecting it.
  */
 export async function collectAnswer(
   reply: AttemptAnswer,
   limitBytes: number,
 ): Promise<WholeAnswer | string> {
   const {headers, body, status} = reply;
-  // The loop below may be left before the error that its end gives comes.
+  // The body can emit an error after the loop below has ended.
   body.on('error', () => {});
   const lengthText = headers['content-length'];
   const isChunked = headers['transfer-encoding']?.includes('chunked') === true;
--- a/packages/banyanfold-entry/src/attempts/finalError.ts
+++ b/packages/banyanfold-entry/src/attempts/finalError.ts
@@ -6,7 +6,7 @@
 const DEFAULT_RETRY_AFTER_MS = 1000;
 const INVALID_REQUEST_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
 
-/** The last attempt that brought no answer. */
+/** The result of the last attempt without an answer. */
 export type LastFailure =
   | {kind: 'refused'; refusal: AttemptRefusal}
   | {kind: 'failed'; neverSent: boolean; reason: string};
@@ -19,36 +19,36 @@
 > = {
   'no-copy': {
     code: 'no_copy',
-    message: 'no backend server holds it now; it is being loaded',
+    message: 'no backend server has it loaded; it is being loaded now',
   },
   'all-busy': {
     code: 'all_busy',
-    message: 'no backend server can answer in time now',
+    message: 'no backend server can answer in time',
   },
   'no-runner': {
     code: 'no_runner',
-    message: 'no backend server can be reached now',
+    message: 'no backend server is reachable',
   },
 };
 
-/** A refusal by the entry's own view, before any attempt. */
+/** The error for a request that routing refused. */
 export function routeRefusalError(decision: RouteRefusal): ApiError {
   const {code, message} = ROUTE_ERRORS[decision.code];
   return new ApiError(code, message, {retryAfterMs: decision.retryAfterMs});
 }
 
 /**
- * The answer to a request whose tries are over.
+ * The error for a request that is not retried any further.
  *
- * @param refusal why no further try was made, when routing refused it.
- * @param outcome what is proved of all its attempts.
+ * @param refusal the routing refusal that prevented a further attempt, if any.
+ * @param outcome whether any of its attempts may have run.
  */
 export function finalError(
   failure: LastFailure | undefined,
   refusal: ApiError | undefined,
   outcome: Outcome,
 ): ApiError {
-  if (!failure) return refusal ?? new ApiError('internal', 'nothing was tried');
+  if (!failure) return refusal ?? new ApiError('internal', 'no attempt made');
   if (outcome === 'unknown') return unknownOutcomeError(failure);
   if (failure.kind === 'refused') return agentRefusalError(failure.refusal);
   const code =
@@ -62,11 +62,11 @@
   const reason =
     failure.kind === 'refused' ? failure.refusal.message : failure.reason;
   const code = reason === 'deadline' ? 'deadline_exceeded' : 'outcome_unknown';
-  const message = `it may have run; no answer came back: ${reason}`;
+  const message = `may have run; no answer was received: ${reason}`;
   return new ApiError(code, message, {outcome: 'unknown'});
 }
 
-/** Whether an agent refused for what the caller sent. */
+/** Whether an agent refused because the request itself is invalid. */
 export function isInvalidRequestRefusal({status}: AttemptRefusal): boolean {
   return INVALID_REQUEST_STATUSES.has(status);
 }
--- a/packages/banyanfold-entry/src/attempts/frameScanner.ts
+++ b/packages/banyanfold-entry/src/attempts/frameScanner.ts
@@ -6,35 +6,35 @@
 const DIGIT_NINE = 0x39;
 const RADIX = 10;
 
-/** Why a stream can't be followed further. */
+/** Why a stream can't be read any further. */
 export type FrameFault = 'gap' | 'malformed' | 'too-long';
 
 export interface ScanResult {
-  /** Events to pass on in order, without their id lines. */
+  /** Events to forward, in order and without their id lines. */
   events: Buffer[];
   fault: FrameFault | undefined;
-  /** Frames of another attempt, or passed on before. */
+  /** Events of another attempt or already forwarded. */
   dropped: number;
 }
 
-/** How the scanner is built. */
 export interface FrameScannerOptions {
   attemptId: string;
   maxEventBytes: number;
 }
 
 /**
- * Takes one attempt's events from a stream without parsing their JSON.
+ * Extracts one attempt's server-sent events without parsing their JSON.
  *
- * An answer can be crossed with another's, come twice after a resume, or lack
- * an event in its middle; the caller would read a wrong or a short answer
- * that looks whole. Each event names its attempt and its number, so what is
- * foreign or doubled is dropped, and a gap ends the scan.
+ * A stream can contain events of another attempt, repeat events after a resume,
+ * or miss an event. Forwarding it as is would give the caller a wrong or
+ * incomplete answer that looks complete. Each event carries an id of the form
+ * `attemptId/seq`: foreign and repeated events are dropped, and a gap is a
+ * fault.
  */
 export class FrameScanner {
-  /** The number of the last event passed on. */
+  /** The sequence number of the last event forwarded. */
   lastSeq = 0;
-  /** Whether the end marker was passed on. */
+  /** Whether the end marker (`[DONE]`) was forwarded. */
   done = false;
   private partialEvent: Buffer = Buffer.alloc(0);
   private readonly ownIdPrefix: Buffer;
@@ -43,12 +43,12 @@
     this.ownIdPrefix = Buffer.from(`id: ${options.attemptId}/`);
   }
 
-  /** Forgets a partial event, before a resumed stream is read. */
+  /** Discards a partial event before a resumed stream is read. */
   reset(): void {
     this.partialEvent = Buffer.alloc(0);
   }
 
-  /** Scans the next chunk; a partial event is held until it is complete. */
+  /** Scans the next chunk; a partial event is kept until it is complete. */
   scan(chunk: Buffer): ScanResult {
     const result: ScanResult = {events: [], fault: undefined, dropped: 0};
     const data =
--- a/packages/banyanfold-entry/src/attempts/idleTimer.ts
+++ b/packages/banyanfold-entry/src/attempts/idleTimer.ts
@@ -1,11 +1,12 @@
 import type {Clock, Timer} from '@banyanfold/core';
 
-/** Share of the idle time that is waited once more before it calls back. */
+/** Extra wait before the callback, as a share of the idle time. */
 const RECHECK_SHARE = 0.1;
 
 /**
- * Calls back once nothing was noted for a while. It has one timer whatever the
- * number of events, as a timer for each chunk would cost more than the chunk.
+ * Calls back when no activity was recorded for the idle time. It reuses a
+ * single timer, because resetting a timer for each chunk would cost more than
+ * handling the chunk.
  */
 export class IdleTimer {
   private lastActivityMs: number;
@@ -21,7 +22,7 @@
     this.schedule(idleMs);
   }
 
-  /** Nothing counts as idle until the next `note`. */
+  /** Stops counting idle time until the next `recordActivity`. */
   pause(): void {
     this.paused = true;
   }
@@ -44,8 +45,9 @@
   }
 
   /**
-   * After a stall of this process its timers run before it reads what has come
-   * in the meantime, and a stream that goes on would count as silent.
+   * Checks once more after a short delay. After a stall of the event loop,
+   * timers run before pending input is read, so an active stream would look
+   * idle.
    */
   private scheduleRecheck(): void {
     this.timer = this.clock.setTimer(this.idleMs * RECHECK_SHARE, () => {
--- a/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
+++ b/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
@@ -1,22 +1,22 @@
 import type {Outcome} from '@banyanfold/protocol';
 
 /**
- * What is proved of a request's attempts.
+ * Tracks whether any attempt of a request may have started.
  *
- * A caller who reads "not run" sends the claim again, and a crew goes to the
- * ravine twice if that was untrue. So it is said only when each attempt is
- * proved not to have started; whatever can't be proved counts as started.
+ * A caller that receives `not-run` sends the request again, and if that was
+ * untrue, a crew is sent out twice. So `not-run` is reported only if each
+ * attempt is proved not to have started; an unknown state counts as started.
  */
 export class OutcomeTracker {
   private readonly pending = new Set<Promise<void>>();
   private mayHaveStarted = false;
 
-  /** Notes an attempt whose fate is known now. */
+  /** Records an attempt whose state is known. */
   record(neverStarted: boolean): void {
     if (!neverStarted) this.mayHaveStarted = true;
   }
 
-  /** Notes an attempt whose seal has yet to answer. */
+  /** Records an attempt that is still being sealed. */
   recordPending(neverStarted: Promise<boolean>): void {
     const settled = neverStarted
       .catch(() => false)
@@ -27,12 +27,12 @@
     this.pending.add(settled);
   }
 
-  /** Whether each attempt is proved, as far as known at this moment. */
+  /** Whether each attempt is proved never to have started, as far as known. */
   get allNeverStarted(): boolean {
     return !this.mayHaveStarted && this.pending.size === 0;
   }
 
-  /** Waits for the seals, which have a time limit of their own. */
+  /** Waits for the pending seals, which have a time limit of their own. */
   async settle(): Promise<Outcome> {
     await Promise.all(this.pending);
     return this.mayHaveStarted ? 'unknown' : 'not-run';
--- a/packages/banyanfold-entry/src/attempts/runAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/runAttempt.ts
@@ -28,7 +28,7 @@
   incarnation: number;
 }
 
-/** Runs one attempt at one agent, and notes what it tells of that agent. */
+/** Runs one attempt on an agent and records its outcome for that agent. */
 export async function runAttempt(
   options: AttemptOptions,
 ): Promise<AttemptResult> {
@@ -47,7 +47,7 @@
 class AttemptRun {
   private readonly abortController = new AbortController();
   private readonly sentMs: number;
-  /** Whether the deadline ended the attempt. */
+  /** Whether the request's deadline aborted the attempt. */
   private timedOut = false;
 
   constructor(private readonly options: AttemptOptions) {
@@ -73,7 +73,10 @@
     }
   }
 
-  /** `onFirstEvent` ends the deadline: a stream that runs isn't cut off. */
+  /**
+   * Sends the attempt and handles its answer. `onFirstEvent` cancels the
+   * deadline timer, so that a stream that has begun is not cut off.
+   */
   private async execute(onFirstEvent: () => void): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
     const reply = await context.transport.open({
@@ -90,8 +93,9 @@
   }
 
   /**
-   * One that may not be repeated is lost with its answer, unless the answer
-   * can still be had: its agent keeps it for a while.
+   * Whether to fetch the answer of a failed attempt again. A request that may
+   * not be repeated can't be retried, but its agent keeps the answer for a
+   * while.
    */
   private canRecoverAnswer(result: AttemptResult): boolean {
     const {repeatable} = this.options.job.target.selector;
@@ -117,7 +121,7 @@
         result: result.kind,
       });
       if (result.kind === 'done') return result;
-      // Whether it started is for the seal to say.
+      // Sealing the attempt determines whether it started.
       if (result.kind === 'refused') break;
     }
     return first;
@@ -182,7 +186,7 @@
     return {kind: 'done', result: {kind: 'answer', answer}};
   }
 
-  /** A 5xx that no agent has signed comes from an engine in trouble. */
+  /** A 5xx without the agent's outcome header comes from the engine. */
   private isEngineFailure(reply: AttemptAnswer): boolean {
     const {target} = this.options.job;
     if (target.kind === 'service' || !target.selector.repeatable) return false;
@@ -193,6 +197,7 @@
     return {kind: 'failed', neverSent: false, reason};
   }
 
+  /** `deadline` if the deadline aborted the attempt, else `reason`. */
   private endReason(reason: string): string {
     return this.timedOut ? 'deadline' : reason;
   }
@@ -213,7 +218,7 @@
       [HEADERS.promptTokens]: String(job.metadata.promptTokens),
       [HEADERS.maxTokens]: String(job.metadata.maxTokens),
       [HEADERS.prefixHash]: job.prefixHash,
-      // A service's call takes no KV cache, and agents refuse a zero here.
+      // A service call uses no KV cache, and agents reject a value of 0.
       ...(job.target.kvBytesPerToken > 0 && {
         [HEADERS.kvBytesPerToken]: String(job.target.kvBytesPerToken),
       }),
@@ -228,7 +233,10 @@
   return {kind: 'done', result: {kind: 'caller-gone'}};
 }
 
-/** A refusal is no failure: the agent works, and says that it is full. */
+/**
+ * Records a failure or a success for the ejection of agents. A refusal counts
+ * as neither: the agent works but has no capacity.
+ */
 function recordOutcome(agent: AgentState, result: AttemptResult): void {
   if (result.kind === 'failed') agent.recordFailure();
   if (result.kind !== 'done') return;
--- a/packages/banyanfold-entry/src/attempts/runRequest.ts
+++ b/packages/banyanfold-entry/src/attempts/runRequest.ts
@@ -20,7 +20,10 @@
 import {runAttempt, type AttemptResult} from './runAttempt.js';
 import {sealAttempt, type SealTarget} from './sealAttempt.js';
 
-/** Tries a request at one agent after another, within its budgets. */
+/**
+ * Runs a request: routes it to an agent and retries on other agents until it is
+ * answered, a retry is not allowed, or its time or retry budget is spent.
+ */
 export async function runRequest(
   context: EntryContext,
   job: RequestJob,
@@ -73,9 +76,10 @@
   }
 
   /**
-   * A failed attempt may be running, or still on its way. The seal stops it
-   * and tells which. One that may not be repeated waits for that before
-   * anything else is tried; for others it is only needed for a refusal.
+   * Determines whether a failed attempt may have started. The attempt may still
+   * be running or on its way to the agent; sealing it stops it and returns its
+   * state. A request that may not be repeated waits for that state before any
+   * retry. Other requests need it only if they fail for good.
    */
   private async resolveFailedAttempt(
     target: SealTarget,
@@ -89,13 +93,14 @@
     if (!this.job.target.selector.repeatable) await this.outcomes.settle();
   }
 
-  /** A stream nobody reads any more must not hold an accelerator. */
+  /** Stops an attempt whose answer nobody reads, to free its accelerator. */
   private stopAbandoned(target: SealTarget, result: RequestResult): void {
     if (result.kind === 'caller-gone' || result.kind === 'broken') {
       void sealAttempt(this.context, target);
     }
   }
 
+  /** Decides on a retry and waits for its delay; false if there is none. */
   private async prepareRetry(): Promise<boolean> {
     if (isFinalRefusal(this.lastFailure)) return false;
     const {context, job} = this;
@@ -129,7 +134,7 @@
         DEFAULT_RETRY_OPTIONS,
         random,
       );
-    // A token is taken only for a retry that everything else allows.
+    // Takes a token from the retry budget only if all other checks pass.
     const decision = decide(1);
     if (decision.kind === 'stop') return decision;
     return retryBudget.tryTake() ? decision : decide(0);
@@ -168,7 +173,7 @@
   return result.result.kind === 'broken' ? result.result.reason : undefined;
 }
 
-/** The request itself is at fault; every agent would say the same. */
+/** Whether the request is invalid, so that every agent would refuse it. */
 function isFinalRefusal(lastFailure: LastFailure | undefined): boolean {
   return (
     lastFailure?.kind === 'refused' &&
--- a/packages/banyanfold-entry/src/attempts/sealAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/sealAttempt.ts
@@ -1,7 +1,7 @@
 import type {EntryContext} from '../context.js';
 import type {AgentState} from '../view/agentState.js';
 
-/** The attempt to seal, and the incarnation it was addressed to. */
+/** The attempt to seal, and the agent incarnation it was sent to. */
 export interface SealTarget {
   agent: AgentState;
   attemptId: string;
@@ -9,9 +9,10 @@
 }
 
 /**
- * Stops an attempt, or keeps it from starting when it is still on its way.
+ * Stops an attempt, or prevents it from starting if it has not arrived yet.
  *
- * @returns true when it is proved that it never started and never will.
+ * @returns true if the agent confirms that the attempt never started and never
+ *     will; false if it may have started or the agent can't be reached.
  */
 export async function sealAttempt(
   context: EntryContext,
--- a/packages/banyanfold-entry/src/attempts/streamRelay.ts
+++ b/packages/banyanfold-entry/src/attempts/streamRelay.ts
@@ -11,22 +11,25 @@
 /** How the relay of one attempt's stream ended. */
 export type RelayResult =
   | {kind: 'streamed'}
-  /** Broken; `started` says whether the caller has had any of it. */
+  /** Broken; `started` tells whether the caller received any part of it. */
   | {kind: 'broken'; started: boolean; reason: string}
   | {kind: 'caller-gone'};
 
-/** One attempt whose stream is passed on. */
+/** The attempt whose stream is forwarded. */
 export interface RelayOptions {
   context: EntryContext;
   job: RequestJob;
   agent: AgentState;
   attemptId: string;
   signal: AbortSignal;
-  /** Called when the first event goes to the caller. */
+  /** Called when the first event is sent to the caller. */
   onFirstEvent(): void;
 }
 
-/** Passes a stream on to the caller and mends it by resuming at its agent. */
+/**
+ * Forwards a stream to the caller. If the stream breaks, it is resumed from the
+ * agent after the last event forwarded.
+ */
 export class StreamRelay {
   private readonly scanner: FrameScanner;
   private firstEventSent = false;
@@ -62,7 +65,7 @@
     return {kind: 'broken', started: job.callerStream.started, reason};
   }
 
-  /** Passes on what comes; the answer says why it stopped. */
+  /** Forwards events until the body ends, and returns why it ended. */
   private async forwardEvents(
     body: Body,
     reply: AttemptAnswer,
@@ -77,21 +80,21 @@
     const idleTimer = new IdleTimer(clock, settings.attempts.streamIdleMs, () =>
       stop('idle'),
     );
-    // The loop below may be left before the error that `destroy` gives comes;
-    // unheard, it would end the whole process.
+    // The error from `destroy` can be emitted after the loop below has ended;
+    // without a listener it would crash the process.
     body.on('error', () => {});
     const onCallerGone = () => stop('caller-gone');
     job.signal.addEventListener('abort', onCallerGone);
     this.scanner.reset();
     try {
-      // Not destroyed when the loop is left: after the end marker the rest of
-      // the answer is read off, so that its connection can be used again.
+      // The body is not destroyed when the loop ends: after the end marker the
+      // rest of it is drained, so that its connection can be reused.
       const chunks = body.iterator({destroyOnReturn: false});
       for await (const chunk of chunks as AsyncIterable<Buffer>) {
         idleTimer.recordActivity();
         const frames = this.scanner.scan(chunk);
         this.recordDropped(frames.dropped);
-        // A caller that reads slowly is not an agent that sends nothing.
+        // The time the caller takes to read must not count as agent idle time.
         idleTimer.pause();
         if (frames.events.length > 0) await this.write(frames.events, reply);
         idleTimer.recordActivity();
@@ -118,7 +121,10 @@
     await job.callerStream.write(events, this.scanner.done);
   }
 
-  /** Nothing was sent yet and it may be repeated: a fresh try is simpler. */
+  /**
+   * Whether to retry on another agent instead of resuming: nothing was sent to
+   * the caller yet, and the request may be repeated.
+   */
   private canRetryElsewhere(): boolean {
     const {job} = this.options;
     return !job.callerStream.started && job.target.selector.repeatable;
@@ -154,12 +160,12 @@
     });
     if (isOpen) return reply.body;
     if (reply.kind === 'failed') return undefined;
-    // The agent answered, and has the stream no more.
+    // The agent is reachable but no longer has the stream.
     if (reply.kind === 'answered') reply.body.on('error', () => {}).destroy();
     return 'gone';
   }
 
-  /** An agent that takes the connection and hangs must not hold the caller. */
+  /** Limits the time that an unresponsive agent can keep the caller waiting. */
   private async openWithTimeout<T>(
     timeoutMs: number,
     open: (timeout: AbortSignal) => Promise<T>,
--- a/packages/banyanfold-entry/src/attempts/waitBeforeResume.ts
+++ b/packages/banyanfold-entry/src/attempts/waitBeforeResume.ts
@@ -2,9 +2,10 @@
 import type {EntryContext} from '../context.js';
 
 /**
- * Waits before a resume; the first one is not waited for. Half of each pause
- * is random, so that the streams of one agent don't all come back together,
- * and half is not, so that the tries last until a restarted agent is back.
+ * Waits with exponential backoff before a resume; the first resume is
+ * immediate. Half of each delay is random, so that the streams of one agent
+ * don't all reconnect at once. The other half is fixed, so that the tries span
+ * the restart of an agent.
  */
 export async function waitBeforeResume(
   {clock, random, settings}: EntryContext,
