--- a/packages/banyanfold-entry/src/__tests__/identifyCaller.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/identifyCaller.test.ts
@@ -32,6 +32,6 @@
   // A caller of the phone desk names the counter in a header. Answering would
   // give it the counter's models at the counter's priority.
   it('refuses a desk that is not the caller’s', () => {
-    expect(ask('counter')).toThrow('may not ask for the desk "counter"');
+    expect(ask('counter')).toThrow('may not use the desk "counter"');
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/streamFaults.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/streamFaults.test.ts
@@ -209,7 +209,7 @@
   it('raises an error in the openai client for a broken stream', async () => {
     system.next.push(send(first, cut));
     system.nextResumes.push(gone);
-    await expect(streamedText()).rejects.toThrow('the answer broke off');
+    await expect(streamedText()).rejects.toThrow('the answer was interrupted');
   });
 
   it('sends nothing after the end marker', async () => {
--- a/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
+++ b/packages/banyanfold-entry/src/attempts/outcomeTracker.ts
@@ -3,9 +3,9 @@
 /**
  * Tracks whether any attempt of a request may have started.
  *
- * A caller that receives `not-run` sends the request again, and if that was
- * untrue, a crew is sent out twice. So `not-run` is reported only if each
- * attempt is proved not to have started; an unknown state counts as started.
+ * A caller that receives `not-run` sends the request again, and a crew is sent
+ * out twice if that was untrue. So it is reported only when each attempt is
+ * proved not to have started; whatever can't be proved counts as started.
  */
 export class OutcomeTracker {
   private readonly pending = new Set<Promise<void>>();
--- a/packages/banyanfold-entry/src/http/apiErrors.ts
+++ b/packages/banyanfold-entry/src/http/apiErrors.ts
@@ -9,7 +9,7 @@
   type: string;
 }
 
-/** Each error a caller can get, by its code. */
+/** The errors that callers can receive, by code. */
 export const API_ERRORS = {
   invalid_request: {status: 400, type: 'invalid_request_error'},
   invalid_idempotency_key: {status: 400, type: 'invalid_request_error'},
@@ -38,8 +38,8 @@
 } satisfies Record<string, ErrorKind>;
 
 /**
- * Client libraries repeat each 409 by themselves. For these nothing changes
- * however often they ask.
+ * Conflicts that a retry can't resolve. Client libraries retry every 409 unless
+ * a header forbids it.
  */
 const FINAL_CONFLICTS: ReadonlySet<string> = new Set([
   'key_outcome_unknown',
@@ -50,11 +50,11 @@
 
 export interface ApiErrorOptions {
   outcome?: Outcome;
-  /** When the caller may come back; left out when none can be given. */
+  /** When the caller may retry; omitted if that is unknown. */
   retryAfterMs?: number;
 }
 
-/** A final answer to a caller that isn't a success. */
+/** An error that is sent to the caller as the final answer. */
 export class ApiError extends Error {
   readonly outcome: Outcome;
   readonly retryAfterMs: number | undefined;
@@ -74,7 +74,7 @@
     return API_ERRORS[this.code].status;
   }
 
-  /** The body in OpenAI's shape, with the outcome beside it. */
+  /** The body in OpenAI's error format, extended by the outcome. */
   toBody(): string {
     const {type} = API_ERRORS[this.code];
     return JSON.stringify({
@@ -99,7 +99,7 @@
   }
 }
 
-/** Answers with an error, unless an answer has begun already. */
+/** Sends an error, unless the response has already begun. */
 export function writeApiError(res: ServerResponse, error: ApiError): void {
   if (res.headersSent || res.destroyed) return;
   const body = error.toBody();
--- a/packages/banyanfold-entry/src/http/callerStream.ts
+++ b/packages/banyanfold-entry/src/http/callerStream.ts
@@ -2,9 +2,9 @@
 import type {ApiError} from './apiErrors.js';
 import {waitForFlush, type StallLimit} from './waitForFlush.js';
 
-/** The caller's end of a streamed answer. */
+/** Writes a streamed answer to the caller. */
 export class CallerStream {
-  /** Aborted when the caller goes away before its answer is whole. */
+  /** Aborted if the caller disconnects before its answer is complete. */
   readonly signal: AbortSignal;
   private readonly disconnect = new AbortController();
 
@@ -18,7 +18,7 @@
     });
   }
 
-  /** Whether any byte may have reached the caller. */
+  /** Whether the caller may have received any byte. */
   get started(): boolean {
     return this.res.headersSent;
   }
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Writes events in one go, and with the last ones the end; resolves when the
-   * caller takes more.
+   * Writes events in one batch and ends the answer after the last ones.
+   * Resolves when the response accepts more data.
    */
   async write(events: readonly Buffer[], isLast = false): Promise<void> {
     const {res} = this;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Says that the stream is broken and breaks the connection. A clean end
-   * would make the part look like a whole answer to most clients.
+   * Sends an error event and destroys the connection. Most clients would take a
+   * clean end for the end of a complete answer.
    */
   abort(error: ApiError): void {
     const {res} = this;
--- a/packages/banyanfold-entry/src/http/callers.ts
+++ b/packages/banyanfold-entry/src/http/callers.ts
@@ -12,13 +12,13 @@
   openRequests: number;
 }
 
-/** A caller whose key was right, holding one of its places. */
+/** An authenticated caller that occupies one of its concurrency slots. */
 export interface AdmittedCaller {
   settings: CallerSettings;
   release(): void;
 }
 
-/** Who may call, and how much at once. */
+/** Authenticates callers and limits their concurrent requests. */
 export class CallerDirectory {
   private readonly callers: KnownCaller[];
 
@@ -54,7 +54,7 @@
     return {settings: caller.settings, release};
   }
 
-  /** Compares with every key, so that time tells nothing of which is near. */
+  /** Compares with every key, so that timing reveals nothing about them. */
   private findByKey(req: IncomingMessage): KnownCaller {
     const givenDigest = digest(bearerKey(req.headers.authorization) ?? '');
     let found: KnownCaller | undefined;
--- a/packages/banyanfold-entry/src/http/createHttpServer.ts
+++ b/packages/banyanfold-entry/src/http/createHttpServer.ts
@@ -3,7 +3,7 @@
 import https from 'node:https';
 import type {EntrySettings} from '../settings.js';
 
-/** Creates the server for callers and peers, with TLS when it is set. */
+/** Creates the server for callers and peers, with TLS if it is configured. */
 export function createHttpServer(
   settings: EntrySettings,
   listener: RequestListener,
@@ -20,7 +20,7 @@
   return https.createServer({...options, cert, key}, listener);
 }
 
-/** Starts listening; the answer is the port, also when 0 was asked for. */
+/** Starts listening and returns the port, which the system chooses for 0. */
 export function listen(
   server: Server,
   settings: EntrySettings,
--- a/packages/banyanfold-entry/src/http/inference.ts
+++ b/packages/banyanfold-entry/src/http/inference.ts
@@ -14,7 +14,7 @@
 
 const OVERLOADED_RETRY_AFTER_MS = 1000;
 
-/** A call that reaches a model or a service. */
+/** A call to a model or a service. */
 export interface InferenceCall {
   req: IncomingMessage;
   res: ServerResponse;
@@ -22,7 +22,7 @@
   readMetadata(body: Buffer): RequestMetadata;
 }
 
-/** Serves calls that reach a model or a service. */
+/** Handles calls to models and services. */
 export class InferenceHandler {
   constructor(
     private readonly context: EntryContext,
@@ -35,7 +35,7 @@
     lifecycle.requestOpened();
     try {
       if (lifecycle.open > settings.limits.maxOpenRequests) {
-        throw new ApiError('overloaded', 'too many requests are open here', {
+        throw new ApiError('overloaded', 'too many requests in flight', {
           retryAfterMs: OVERLOADED_RETRY_AFTER_MS,
         });
       }
@@ -88,11 +88,11 @@
     }
   }
 
-  /** Without its guard a request that may not be repeated isn't run at all. */
+  /** Rejects a request that may not be repeated if no plug-in guards it. */
   private requireIdempotencyGuard(job: RequestJob): void {
     if (job.target.selector.repeatable) return;
     if (this.plugins.some(plugin => plugin.guardsNonRepeatable)) return;
-    throw new ApiError('not_ready', 'this entry runs no idempotency plug-in');
+    throw new ApiError('not_ready', 'no idempotency plug-in is enabled');
   }
 
   private async sendAnswer(
@@ -103,7 +103,7 @@
     if (result.kind === 'failed') {
       writeApiError(res, result.error);
     } else if (result.kind === 'broken') {
-      const message = `the answer broke off: ${result.reason}`;
+      const message = `the answer was interrupted: ${result.reason}`;
       const options = {outcome: 'unknown'} as const;
       job.callerStream.abort(new ApiError('outcome_unknown', message, options));
     } else if (result.kind === 'answer' && !res.destroyed) {
--- a/packages/banyanfold-entry/src/http/readBody.ts
+++ b/packages/banyanfold-entry/src/http/readBody.ts
@@ -2,9 +2,10 @@
 import {ApiError} from './apiErrors.js';
 
 /**
- * Reads a caller's whole body.
+ * Reads a whole request body.
  *
- * @throws ApiError `body_too_large` as soon as the limit is passed.
+ * @throws ApiError `body_too_large` as soon as the limit is exceeded, or
+ *     `invalid_request` if the body ends early.
  */
 export async function readBody(
   req: IncomingMessage,
@@ -22,12 +23,12 @@
   return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
 }
 
-/** A caller that goes away in its body is no error of ours. */
+/** Reports a disconnect within the body as the caller's error, not ours. */
 async function* readChunks(req: IncomingMessage): AsyncIterable<Buffer> {
   try {
     yield* req as AsyncIterable<Buffer>;
   } catch {
-    throw new ApiError('invalid_request', 'the body broke off');
+    throw new ApiError('invalid_request', 'the body ended early');
   }
 }
 
--- a/packages/banyanfold-entry/src/http/readiness.ts
+++ b/packages/banyanfold-entry/src/http/readiness.ts
@@ -1,6 +1,6 @@
 import type {EntryContext} from '../context.js';
 
-/** Whether the balancer should send callers here. */
+/** Whether the load balancer should send callers to this entry. */
 export function isReady(context: EntryContext): boolean {
   const {configWatch, lifecycle, view} = context;
   if (lifecycle.leaving || !configWatch.ready || !view.known) return false;
--- a/packages/banyanfold-entry/src/http/routes.ts
+++ b/packages/banyanfold-entry/src/http/routes.ts
@@ -24,7 +24,7 @@
   control: RequestListener;
 }
 
-/** Serves every path of an entry. */
+/** Creates the listener that serves every path of an entry. */
 export function createRequestListener(options: RoutesOptions): RequestListener {
   const {context, control} = options;
   const routes = routeTable(options);
@@ -86,7 +86,7 @@
   };
 }
 
-/** `/services/a/../b` would leave the path that the service is offered at. */
+/** Rejected because `/services/a/../b` would leave the path of the service. */
 function isDotSegment(segment: string): boolean {
   return /^(\.|%2e){1,2}$/i.test(segment);
 }
@@ -96,7 +96,7 @@
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
-  if (!route) throw new ApiError('not_found', 'there is no such path');
+  if (!route) throw new ApiError('not_found', 'unknown path');
   if (req.method !== route.method) {
     throw new ApiError('method_not_allowed', `use ${route.method}`);
   }
@@ -154,7 +154,7 @@
     const {code, outcome} = error;
     context.metrics.count('refusals_total', {code});
     context.logger.info('refused', {path, code, outcome});
-    // The rest of a body that is too large would be read as a next request.
+    // The unread rest of the body would be parsed as the next request.
     if (error.code === 'body_too_large') res.setHeader('connection', 'close');
     writeApiError(res, error);
     return;
@@ -164,7 +164,7 @@
     peer: 'caller',
     error: error instanceof Error ? (error.stack ?? error.message) : 'unknown',
   });
-  const message = 'an internal error; see the log';
+  const message = 'internal error; see the log of this entry';
   writeApiError(res, new ApiError('internal', message, {outcome: 'unknown'}));
   if (!res.writableEnded) res.destroy();
 }
--- a/packages/banyanfold-entry/src/http/waitForFlush.ts
+++ b/packages/banyanfold-entry/src/http/waitForFlush.ts
@@ -1,16 +1,16 @@
 import type {ServerResponse} from 'node:http';
 import type {Clock} from '@banyanfold/core';
 
-/** How long a caller may keep its answer waiting. */
+/** How long a caller may go without reading from its answer. */
 export interface StallLimit {
   clock: Clock;
   stallMs: number;
 }
 
 /**
- * Resolves once the caller has taken what was written, or is gone. A caller
- * that takes nothing for too long is cut off: its answer holds memory here and
- * a place at an accelerator, and it would hold them for ever.
+ * Resolves once the caller has read what was written, or has disconnected. A
+ * caller that stalls for too long is disconnected, because its answer would
+ * hold memory here and a slot of an accelerator indefinitely.
  */
 export function waitForFlush(
   res: ServerResponse,
--- a/packages/banyanfold-entry/src/requests/acceptRequest.ts
+++ b/packages/banyanfold-entry/src/requests/acceptRequest.ts
@@ -17,14 +17,14 @@
   'no-selector': 'model_not_found',
 };
 
-/** Who asks, as selectors see it. */
+/** The attributes of a caller that selectors match. */
 export interface CallerIdentity {
   caller: string;
   desk: string;
   headers: Record<string, string>;
 }
 
-/** What a job is made from. */
+/** The input of `acceptRequest`. */
 export interface AcceptOptions {
   req: IncomingMessage;
   caller: CallerSettings;
@@ -35,23 +35,27 @@
   startedMs: number;
 }
 
-/** The configuration in force, or a refusal while none is known. */
+/**
+ * Returns the configuration in force.
+ *
+ * @throws ApiError `not_ready` while none is known.
+ */
 export function requireConfig(context: EntryContext): CompiledConfig {
   const {configWatch} = context;
   if (configWatch.current && configWatch.ready) return configWatch.current;
-  throw new ApiError('not_ready', 'no configuration is known here yet', {
+  throw new ApiError('not_ready', 'this entry has no configuration yet', {
     retryAfterMs: NOT_READY_RETRY_AFTER_MS,
   });
 }
 
 /**
- * The caller and desk of a call, and its headers without the key.
+ * Returns the caller and desk of a call, and its headers without the key.
  *
- * A desk decides selectors and priority, so a caller may only name one that
- * its settings give it; otherwise any key would reach the counter's models at
- * the counter's priority.
+ * The desk determines selectors and priority, so a caller may name only a desk
+ * that its settings list. Otherwise any key could use another desk's models at
+ * that desk's priority.
  *
- * @throws ApiError `not_allowed` for another desk.
+ * @throws ApiError `not_allowed` for any other desk.
  */
 export function identifyCaller(
   req: IncomingMessage,
@@ -67,15 +71,15 @@
   if (desk !== caller.desk && !caller.otherDesks.includes(desk)) {
     throw new ApiError(
       'not_allowed',
-      `the key may not ask for the desk "${desk}"; its settings list those ` +
-        'it may name',
+      `the key may not use the desk "${desk}"; use one that its settings ` +
+        'list',
     );
   }
   return {caller: caller.name, desk, headers};
 }
 
 /**
- * Resolves a request and fixes its deadlines.
+ * Resolves a request to its target and sets its deadlines.
  *
  * @throws ApiError `not_ready`, `not_allowed` or `model_not_found`.
  */
@@ -122,7 +126,7 @@
     const wanted = isService ? 'service' : 'model';
     throw new ApiError(
       'model_not_found',
-      `"${requestedName}" is a ${target.kind} and no ${wanted}`,
+      `"${requestedName}" is a ${target.kind}, not a ${wanted}`,
     );
   }
   return target;
--- a/packages/banyanfold-entry/src/requests/parseRequest.ts
+++ b/packages/banyanfold-entry/src/requests/parseRequest.ts
@@ -20,9 +20,10 @@
 });
 
 /**
- * Reads what routing needs of a completion request; the engine judges the rest.
+ * Parses the fields of a completion request that routing needs. The engine
+ * validates the rest.
  *
- * @throws ApiError `invalid_request`, naming the field.
+ * @throws ApiError `invalid_request` with the path of the invalid field.
  */
 export function parseCompletion(body: Buffer): RequestMetadata {
   const checked = completionSchema.safeParse(parseJson(body));
@@ -42,7 +43,7 @@
   };
 }
 
-/** A plain service's request is passed on unread. */
+/** The metadata of a service call, whose body is forwarded without parsing. */
 export function serviceMetadata(service: string): RequestMetadata {
   return {
     isService: true,
@@ -55,8 +56,9 @@
 }
 
 /**
- * The hash under which agents report a cached prefix. It has the artifact in
- * it: the same text in the cache of another model is of no use.
+ * The hash under which agents report a cached prefix, or '' without a prefix.
+ * It includes the artifact, because cached prefixes can't be shared between
+ * models.
  */
 export function prefixHashOf(artifact: string, prefixText: string): string {
   if (prefixText === '') return '';
--- a/packages/banyanfold-entry/src/requests/promptPrefix.ts
+++ b/packages/banyanfold-entry/src/requests/promptPrefix.ts
@@ -13,9 +13,9 @@
 type Message = z.infer<typeof messageSchema>;
 
 /**
- * The text of the first cache block of a prompt, as the engines render it:
- * one `role: content` line a message. It is empty for a prompt shorter than a
- * block, which no engine caches.
+ * Returns the text of the first cache block of a prompt, rendered like the
+ * engines do: one `role: content` line per message. It is empty for a prompt
+ * shorter than a block, which no engine caches.
  *
  * @example promptPrefix([{role: 'user', content: 'long text …'}])
  */
@@ -25,7 +25,7 @@
   return text.slice(0, BLOCK_CHARACTERS);
 }
 
-/** Renders no more messages than the block needs. */
+/** Renders messages until the first block is full. */
 function renderMessages(messages: unknown[]): string {
   let text = '';
   for (const message of messages) {
--- a/packages/banyanfold-entry/src/requests/types.ts
+++ b/packages/banyanfold-entry/src/requests/types.ts
@@ -2,19 +2,19 @@
 import type {ApiError} from '../http/apiErrors.js';
 import type {CallerStream} from '../http/callerStream.js';
 
-/** What of a request's body routing and admission need. */
+/** The properties of a request that routing and admission need. */
 export interface RequestMetadata {
-  /** Which kind of call it is; a name of the other kind isn't found. */
+  /** Whether the call is to a service; the name must be of the same kind. */
   isService: boolean;
   requestedName: string;
   stream: boolean;
   promptTokens: number;
   maxTokens: number;
-  /** The first part of the prompt, which engines may have cached. */
+  /** The first cache block of the prompt, which engines may have cached. */
   prefixText: string;
 }
 
-/** A request that was let in and resolved. */
+/** A request that was admitted and resolved to a target. */
 export interface RequestJob {
   requestId: string;
   caller: string;
@@ -30,19 +30,19 @@
   startedMs: number;
   firstTokenDeadlineMs: number;
   wholeDeadlineMs: number;
-  /** Where a streamed answer goes. */
+  /** Receives a streamed answer. */
   callerStream: CallerStream;
   /**
-   * Aborted when the caller goes away. Not so for one that may not be
-   * repeated: it runs to its end, so that its outcome is there for the call
-   * that comes back with the same key.
+   * Aborted when the caller disconnects. Never aborted for a request that may
+   * not be repeated: it runs to completion, so that its outcome is available to
+   * a later call with the same idempotency key.
    */
   signal: AbortSignal;
-  /** Attempts that were dispatched, for the log line. */
+  /** The number of attempts sent, for the log. */
   attempts: number;
 }
 
-/** A whole answer, not yet sent. */
+/** A complete answer that is not yet sent to the caller. */
 export interface WholeAnswer {
   status: number;
   headers: Record<string, string>;
@@ -52,10 +52,10 @@
 /** How a request ended. */
 export type RequestResult =
   | {kind: 'answer'; answer: WholeAnswer}
-  /** Streamed to the caller to its end. */
+  /** Completely streamed to the caller. */
   | {kind: 'streamed'}
-  /** Nothing was sent to the caller yet. */
+  /** Failed before anything was sent to the caller. */
   | {kind: 'failed'; error: ApiError}
-  /** Broken after the first byte; the caller sees an error and a broken end. */
+  /** Broken after the first byte; the caller gets an error and no clean end. */
   | {kind: 'broken'; reason: string}
   | {kind: 'caller-gone'};
--- a/packages/banyanfold-entry/src/routing/missCounter.ts
+++ b/packages/banyanfold-entry/src/routing/missCounter.ts
@@ -1,7 +1,7 @@
 /**
- * Requests refused for lack of a copy. The entry that plans reads the counts
- * of all entries; an artifact that only another entry is asked for would
- * otherwise never be loaded.
+ * Counts the requests refused because no server has a copy of the artifact. The
+ * entry that plans reads the counts of all entries. Without them, an artifact
+ * requested only through other entries would never be loaded.
  */
 export class MissCounter {
   private readonly counts = new Map<string, number>();
@@ -10,7 +10,7 @@
     this.counts.set(artifact, (this.counts.get(artifact) ?? 0) + 1);
   }
 
-  /** Counts since the start, by artifact. */
+  /** Returns the counts since the process start, by artifact. */
   snapshot(): Record<string, number> {
     return Object.fromEntries(this.counts);
   }
--- a/packages/banyanfold-entry/src/routing/routeAttempt.ts
+++ b/packages/banyanfold-entry/src/routing/routeAttempt.ts
@@ -9,10 +9,10 @@
 import type {EntryContext} from '../context.js';
 import type {RequestJob} from '../requests/types.js';
 
-/** A log line stays readable with many runners. */
+/** Keeps log lines readable with many runners. */
 const MAX_LOGGED_REASONS = 8;
 
-/** Decides where the next attempt of a request goes, and logs why. */
+/** Chooses the agent for the next attempt of a request and logs the reasons. */
 export function routeAttempt(
   context: EntryContext,
   job: RequestJob,
@@ -25,8 +25,8 @@
     decideRoute(routingView, request, nowMs, DEFAULT_ROUTE_OPTIONS, random);
   const routingView = view.routingView();
   let decision = decide(routingView);
-  // Ejection is about choosing better runners. When the ejected ones are all
-  // that hold the artifact, a slow answer is better than none.
+  // Ejection prefers better runners. If only ejected runners hold the artifact,
+  // a slow answer is better than none.
   if (decision.kind === 'refuse' && hasEjected(decision.reasons)) {
     decision = decide(withoutEjections(routingView));
   }
@@ -42,7 +42,7 @@
   const {target, metadata} = job;
   return {
     artifact: target.artifact,
-    // A service has no model; it is held where it is offered.
+    // A service has no model; the runners that offer it hold its own artifact.
     modelArtifact: target.modelArtifact || target.artifact,
     priority: target.selector.priority,
     runnerRole: target.selector.runnerRole ?? '',
@@ -55,9 +55,10 @@
 }
 
 /**
- * How long a request may wait for its turn at a server. The answer of a service
- * has no first token: judged by that target, a call was refused after a slow
- * first attempt although another server was idle.
+ * How long a request may wait in the queue of a server. A service call has no
+ * first token, so its deadline is that of the whole answer. With the
+ * first-token deadline, a call was refused after a slow first attempt although
+ * another server was idle.
  */
 function waitBudgetMs(job: RequestJob, nowMs: number): number {
   const isService = job.target.kind === 'service';
@@ -98,7 +99,11 @@
   });
 }
 
-/** `agent-1:12:chosen-wait,agent-2:-:no-copy`, the best ones first. */
+/**
+ * Renders candidates by ascending score.
+ *
+ * @example `agent-1:12:chosen-wait,agent-2:-:no-copy`
+ */
 export function renderReasons(reasons: readonly CandidateReason[]): string {
   const sorted = [...reasons].sort((a, b) => a.scoreMs - b.scoreMs);
   const shown = sorted.slice(0, MAX_LOGGED_REASONS).map(renderReason);
