--- a/packages/banyanfold-entry/src/__tests__/attemptHeaders.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/attemptHeaders.test.ts
@@ -16,8 +16,8 @@
 });
 afterAll(() => system.stop());
 
-/** What changes from run to run is only named. */
-function stable(headers: NodeJS.Dict<string | string[]>) {
+/** Replaces the values that differ between runs. */
+function normalizeHeaders(headers: NodeJS.Dict<string | string[]>) {
   const kept = Object.entries(headers).filter(([n]) => !HOP_HEADERS.test(n));
   const shown = kept.map(([name, value]) => {
     if (name.endsWith('-budget-ms')) return [name, Number(value) > 0];
@@ -26,13 +26,13 @@
   return Object.fromEntries(shown.sort());
 }
 
-describe('createEntry, what an attempt tells its agent', () => {
+describe('createEntry, the headers of an attempt', () => {
   it.each([
     ['a model', '/v1/chat/completions', {}],
     ['a service', '/services/lodging/a/b?c=1', {'idempotency-key': KEY}],
   ])('for %s', async (_name, path, headers) => {
     await post(port, path, {headers});
     const call = system.agents[0]!.calls.splice(0)[0]!;
-    expect([call.path, stable(call.headers)]).toMatchSnapshot();
+    expect([call.path, normalizeHeaders(call.headers)]).toMatchSnapshot();
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/ejection.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/ejection.test.ts
@@ -16,10 +16,11 @@
 afterAll(() => system.stop());
 
 describe('the ejection plug-in', () => {
-  // One agent of four fails every request it is sent. Callers get their answer
-  // from another, but late, and the retries eat the budget; so it is left out
-  // for a while. When it alone holds the model, it is used all the same.
-  it('leaves out a failing runner, unless it alone holds the model', async () => {
+  // One of four agents fails every request. Retries on other agents succeed,
+  // but they add latency and spend the retry budget, so the agent is ejected
+  // for a while. If it is the only one that holds the model, it is used
+  // nevertheless.
+  it('ejects a failing runner, unless it alone holds the model', async () => {
     const port = await system.startReadyEntry({
       ejectionIntervalMs: 50,
       retry: {budgetMaxTokens: 1_000},
@@ -44,14 +45,14 @@
     );
   });
 
-  // Drafts take long to a first token on a healthy runner. Beside the many that
-  // answer the counter, a drafting runner looks slow, is left out, and its
-  // drafts are refused or crowd its peers, though nothing is wrong with it.
+  // Guards against ejecting healthy runners of a slower role. Drafts take long
+  // to their first token, so a drafting runner looks slow beside desk runners.
+  // Its drafts would then be refused or overload its peers.
   it('compares a runner with those of its role', async () => {
-    const {clock, logger, plugin, runner} = createEjection();
-    for (let i = 1; i <= 5; i++) runner(`desk-${i}`, 'desk', 100);
-    for (let i = 1; i <= 3; i++) runner(`draft-${i}`, 'drafting', 2_000);
-    runner('desk-6', 'desk', 900);
+    const {clock, logger, plugin, addRunner} = createEjection();
+    for (let i = 1; i <= 5; i++) addRunner(`desk-${i}`, 'desk', 100);
+    for (let i = 1; i <= 3; i++) addRunner(`draft-${i}`, 'drafting', 2_000);
+    addRunner('desk-6', 'desk', 900);
     await plugin.start?.();
     await clock.advance(1);
     await plugin.stop?.();
@@ -61,12 +62,12 @@
   });
 });
 
-/** The plug-in before runners whose outcomes a test sets. */
+/** Creates the plug-in and a function that adds runners with set outcomes. */
 function createEjection() {
   const clock = new VirtualClock();
   const logger = new MemoryLogger();
-  const place = {vmId: 'entry-1', failureDomain: 'a', region: 'r'};
-  const view = new ClusterView(place);
+  const location = {vmId: 'entry-1', failureDomain: 'a', region: 'r'};
+  const view = new ClusterView(location);
   const vms: Vm[] = [];
   const plugin = ejectionPlugin({
     clock,
@@ -76,14 +77,19 @@
     settings: {ejectionIntervalMs: 2_000, outcomeHalfLifeMs: 15_000},
     view,
   } as unknown as EntryContext);
-  const runner = (vmId: string, role: string, firstTokenMs: number) => {
-    const at = {host: '127.0.0.1', port: 1, failureDomain: 'a', region: 'r'};
-    vms.push({vmId, role: 'agent', state: 'live', ...at});
+  const addRunner = (vmId: string, role: string, firstTokenMs: number) => {
+    const address = {
+      host: '127.0.0.1',
+      port: 1,
+      failureDomain: 'a',
+      region: 'r',
+    };
+    vms.push({vmId, role: 'agent', state: 'live', ...address});
     view.applyVmList({asOfMs: vms.length, vms});
     const agent = view.agent(vmId)!;
     agent.runner.runnerRole = role;
     agent.recordFirstToken(firstTokenMs);
     for (let i = 0; i < 10; i++) agent.recordSuccess();
   };
-  return {clock, logger, plugin, runner};
+  return {clock, logger, plugin, addRunner};
 }
--- a/packages/banyanfold-entry/src/__tests__/frameScanner.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/frameScanner.test.ts
@@ -22,9 +22,9 @@
 }
 
 describe('FrameScanner', () => {
-  // A stream reaches the entry cut anywhere. A partial event that was passed
-  // on, or two that were joined, would show as a garbled answer.
-  it('gives the same events wherever the stream is cut', () => {
+  // Chunk boundaries can lie anywhere. Forwarding a partial event or joining
+  // two events would garble the answer.
+  it('returns the same events for any chunk boundary', () => {
     const text = event(1, '{"a":"é"}') + event(2, 'b') + event(3, '[DONE]');
     const bytes = Buffer.from(text);
     const whole = scanAll([bytes]);
@@ -36,20 +36,26 @@
   });
 
   it.each([
-    ['crossed', event(1, 'a') + event(2, 'x', 'attempt-2') + event(2, 'b')],
-    ['doubled', event(1, 'a') + event(1, 'a') + event(2, 'b')],
-    ['late', event(1, 'a') + event(2, 'b') + event(1, 'a')],
+    [
+      'an event of another attempt',
+      event(1, 'a') + event(2, 'x', 'attempt-2') + event(2, 'b'),
+    ],
+    ['a repeated event', event(1, 'a') + event(1, 'a') + event(2, 'b')],
+    ['an event repeated later', event(1, 'a') + event(2, 'b') + event(1, 'a')],
     ['a gap', event(1, 'a') + event(3, 'c')],
     ['a gap at the start', event(2, 'b')],
-    ['no id', event(1, 'a') + 'data: b\n\n'],
-    ['an id that is no number', event(1, 'a') + `id: ${OWN}/2x\ndata: b\n\n`],
-    ['an id whose attempt only begins alike', event(1, 'a', `${OWN}0`)],
+    ['an event without an id', event(1, 'a') + 'data: b\n\n'],
+    [
+      'an id that is not a number',
+      event(1, 'a') + `id: ${OWN}/2x\ndata: b\n\n`,
+    ],
+    ['an id whose attempt id only shares its prefix', event(1, 'a', `${OWN}0`)],
     ['a partial event at the end', event(1, 'a') + `id: ${OWN}/2\ndata: b`],
     ['an event over the limit', `id: ${OWN}/1\ndata: ${'x'.repeat(2_000)}`],
     ['comments', `: ping\n\n${event(1, 'a')}: ping\n\n`],
     ['events after the end marker', event(1, '[DONE]') + event(2, 'b')],
     ['the end marker inside the data', event(1, '{"t":"data: [DONE]"}')],
-  ])('judges %s', (_name, text) => {
+  ])('scans %s', (_name, text) => {
     expect(scanAll([Buffer.from(text)])).toMatchSnapshot();
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/identifyCaller.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/identifyCaller.test.ts
@@ -11,7 +11,7 @@
   maxConcurrent: 1,
 };
 
-function ask(desk: string | undefined) {
+function identify(desk: string | undefined) {
   const headers = {authorization: 'Bearer k', [HEADERS.desk]: desk};
   return () => identifyCaller({headers} as unknown as IncomingMessage, CALLER);
 }
@@ -21,17 +21,17 @@
     ['its own desk when it names none', undefined, 'phone'],
     ['its own desk', 'phone', 'phone'],
     ['a desk that its settings list', 'drafting', 'drafting'],
-  ])('gives %s', (_, named, desk) => {
-    expect(ask(named)()).toEqual({
+  ])('accepts %s', (_, named, desk) => {
+    expect(identify(named)()).toEqual({
       caller: 'phone',
       desk,
       headers: named ? {[HEADERS.desk]: named} : {},
     });
   });
 
-  // A caller of the phone desk names the counter in a header. Answering would
-  // give it the counter's models at the counter's priority.
-  it('refuses a desk that is not the caller’s', () => {
-    expect(ask('counter')).toThrow('may not use the desk "counter"');
+  // A caller of the phone desk names the counter in a header. Accepting it
+  // would give the caller the counter's models at the counter's priority.
+  it('refuses a desk that its settings do not list', () => {
+    expect(identify('counter')).toThrow('may not use the desk "counter"');
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/idleTimer.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/idleTimer.test.ts
@@ -4,26 +4,26 @@
 
 const IDLE_MS = 100;
 
-function createWatch() {
+function createTimer() {
   const clock = new VirtualClock();
   const onIdle = vi.fn();
-  return {clock, onIdle, watch: new IdleTimer(clock, IDLE_MS, onIdle)};
+  return {clock, onIdle, idleTimer: new IdleTimer(clock, IDLE_MS, onIdle)};
 }
 
 describe('IdleTimer', () => {
-  it('calls back once nothing was noted for a while', async () => {
-    const {clock, onIdle} = createWatch();
+  it('calls back after the idle time without activity', async () => {
+    const {clock, onIdle} = createTimer();
     await clock.advance(IDLE_MS);
     expect(onIdle).not.toHaveBeenCalled();
     await clock.advance(IDLE_MS);
     expect(onIdle).toHaveBeenCalledTimes(1);
   });
 
-  // Guards against streams that are given up after a stall of this process: its
-  // timers run before it reads what has come in the meantime.
-  it('hears what was read right after its time was over', async () => {
-    const {clock, onIdle, watch} = createWatch();
-    clock.setTimer(IDLE_MS, () => watch.recordActivity());
+  // Guards against breaking off active streams after a stall of this process,
+  // when its timers run before it reads the pending input.
+  it('counts activity right after the idle time is over', async () => {
+    const {clock, onIdle, idleTimer} = createTimer();
+    clock.setTimer(IDLE_MS, () => idleTimer.recordActivity());
     await clock.advance(1.5 * IDLE_MS);
     expect(onIdle).not.toHaveBeenCalled();
     await clock.advance(IDLE_MS);
@@ -31,11 +31,11 @@
   });
 
   it('counts no time while it is paused', async () => {
-    const {clock, onIdle, watch} = createWatch();
-    watch.pause();
+    const {clock, onIdle, idleTimer} = createTimer();
+    idleTimer.pause();
     await clock.advance(10 * IDLE_MS);
     expect(onIdle).not.toHaveBeenCalled();
-    watch.recordActivity();
+    idleTimer.recordActivity();
     await clock.advance(2 * IDLE_MS);
     expect(onIdle).toHaveBeenCalledTimes(1);
   });
--- a/packages/banyanfold-entry/src/__tests__/openaiContract.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/openaiContract.test.ts
@@ -24,7 +24,7 @@
     expect(models.data.map(({id}) => id)).toEqual(['claims', 'counter']);
   });
 
-  it('answers a chat completion whole', async () => {
+  it('answers a chat completion without streaming', async () => {
     const answer = await openaiClient(port).chat.completions.create(CHAT);
     expect(answer.choices[0]?.message.content).toBe(TEXT);
     expect(answer.usage?.total_tokens).toBe(6);
@@ -40,7 +40,7 @@
     expect(text).toBe(TEXT);
   });
 
-  it('passes on the chunk with the usage', async () => {
+  it('forwards the chunk with the usage', async () => {
     const usage = {prompt_tokens: 3, completion_tokens: 3, total_tokens: 6};
     system.next.push(
       send(call => {
@@ -76,26 +76,29 @@
     ],
     ['an unknown model', {key: CALLER_KEY, model: 'nothing', pad: 0}],
     ['a body over the limit', {key: CALLER_KEY, model: 'claims', pad: 9_000}],
-  ])('refuses %s in the usual shape', async (_name, {key, model, pad}) => {
-    const answer = await post(port, '/v1/chat/completions', {
-      headers: {authorization: `Bearer ${key}`},
-      body: JSON.stringify({...CHAT, model, user: 'x'.repeat(pad)}),
-    });
-    expect(answer).toMatchSnapshot();
-  });
+  ])(
+    'refuses %s in the OpenAI error format',
+    async (_name, {key, model, pad}) => {
+      const answer = await post(port, '/v1/chat/completions', {
+        headers: {authorization: `Bearer ${key}`},
+        body: JSON.stringify({...CHAT, model, user: 'x'.repeat(pad)}),
+      });
+      expect(answer).toMatchSnapshot();
+    },
+  );
 
   it.each([
-    ['a service asked for as a model', '/v1/chat/completions', 'lodging'],
-    ['a model asked for as a service', '/services/claims/x', 'claims'],
+    ['a service requested as a model', '/v1/chat/completions', 'lodging'],
+    ['a model requested as a service', '/services/claims/x', 'claims'],
   ])('does not find %s', async (_name, path, model) => {
     const body = JSON.stringify({...CHAT, model});
     const {status, outcome} = await post(port, path, {body});
     expect([status, outcome]).toEqual([404, 'not-run']);
   });
 
-  // Clients tidy such a path up before they send it; this one doesn't.
+  // Most clients normalize such paths; `node:http` sends them unchanged.
   it.each(['/services/lodging/../x', '/services/lodging/%2E%2e/x'])(
-    'does not find %s, which leads out of the service',
+    'does not find %s, which leaves the path of the service',
     async path => {
       const status = await new Promise(resolve => {
         const headers = {authorization: `Bearer ${CALLER_KEY}`};
--- a/packages/banyanfold-entry/src/__tests__/serviceRetry.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/serviceRetry.test.ts
@@ -4,18 +4,18 @@
 import {CONFIG, TestSystem, post} from './kit/testSystem.js';
 
 const RECEIPT = '{"receipt":17}';
-/** Over before any request is routed, as after a stall of the process. */
-const SPENT_MS = 0.001;
+/** Expires before any request is routed, as after a stall of the process. */
+const EXPIRED_MS = 0.001;
 
 const system = new TestSystem();
 afterEach(() => system.stop());
 
-// Guards against calls of a service that are refused while its servers are idle,
-// because their first attempt outlasted a target that is meant for streams.
-describe('createEntry, a call of a service after a slow first attempt', () => {
-  it('goes to another agent while its whole answer has time', async () => {
+// Guards against refusing a service call while servers are idle, because its
+// first attempt outlasted the first-token target, which is meant for streams.
+describe('createEntry, a service call after a slow first attempt', () => {
+  it('retries on another agent within the deadline of the whole answer', async () => {
     const targets = {
-      firstTokenMs: SPENT_MS,
+      firstTokenMs: EXPIRED_MS,
       betweenTokensMs: 41,
       wholeAnswerMs: 10_000,
     };
--- a/packages/banyanfold-entry/src/__tests__/session.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/session.test.ts
@@ -16,25 +16,25 @@
 });
 afterAll(() => system.stop());
 
-/** The lines of the session with a number for each id, and no times. */
-function transcript(): string {
+/** The log lines of the session with ids numbered and times masked. */
+function normalizedLog(): string {
   const ids = new Map<string, string>();
-  const numberOf = (id: string) => {
+  const placeholderFor = (id: string) => {
     if (!ids.has(id)) ids.set(id, `id-${ids.size + 1}`);
     return ids.get(id)!;
   };
   return system.lines
     .filter(line => !/plugin-started|config-in-force/.test(line))
-    .map(line => line.replace(UUID, numberOf))
+    .map(line => line.replace(UUID, placeholderFor))
     .map(line => line.replace(/(tookMs|delayMs)=\d+/g, '$1=N'))
     .map(line => line.replace(/:\d+:(wait|chosen)/g, ':N:$1'))
     .join('\n');
 }
 
 describe('createEntry, the log of a session', () => {
-  // One line for each routing decision, attempt, retry, resume and request:
-  // what an operator reads to see why a request went where it went.
-  it('tells each decision and its reason', async () => {
+  // Operators rely on one line for each routing decision, attempt, retry,
+  // resume and request to find out why a request was routed as it was.
+  it('contains each decision and its reason', async () => {
     const stream = JSON.stringify({
       model: 'claims',
       stream: true,
@@ -59,6 +59,6 @@
     }).toEqual(['lodging']);
     await post(port, CHAT_PATH);
     await system.entries[0]!.entry.drain();
-    expect(transcript()).toMatchSnapshot();
+    expect(normalizedLog()).toMatchSnapshot();
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/slowCallers.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/slowCallers.test.ts
@@ -4,8 +4,8 @@
 import {eventually} from './kit/eventually.js';
 import {CALLER_KEY, CHAT, TestSystem} from './kit/testSystem.js';
 
-/** More than the buffers of both connections hold. */
-const WORDS = Array.from({length: 400}, () => 'x'.repeat(50_000));
+/** Exceeds what the buffers of both connections hold. */
+const LONG_WORDS = Array.from({length: 400}, () => 'x'.repeat(50_000));
 const STREAM_IDLE_MS = 50;
 
 let system: TestSystem;
@@ -19,7 +19,7 @@
     limits: {callerStallMs},
     attempts: {streamIdleMs: STREAM_IDLE_MS},
   });
-  system.next.push(send(call => framesOf(call, WORDS)));
+  system.next.push(send(call => framesOf(call, LONG_WORDS)));
   return fetch(`http://127.0.0.1:${port}/v1/chat/completions`, {
     method: 'POST',
     headers: {authorization: `Bearer ${CALLER_KEY}`},
@@ -28,19 +28,20 @@
 }
 
 describe('createEntry, callers that read slowly', () => {
-  // The entry takes nothing more from the agent while its caller takes nothing.
-  // That is no silent agent, and its stream must not be given up for it.
-  it('gives the whole answer to a caller that paused', async () => {
+  // While its caller doesn't read, the entry doesn't read from the agent. Such
+  // an agent must not count as idle, or its stream would be broken off.
+  it('sends the whole answer to a caller that paused', async () => {
     const response = await openStream(60_000);
     await pause(5 * STREAM_IDLE_MS);
     const text = await response.text();
-    expect(text.split('\n\n')).toHaveLength(WORDS.length + 2);
+    expect(text.split('\n\n')).toHaveLength(LONG_WORDS.length + 2);
     expect(text.endsWith('data: [DONE]\n\n')).toBe(true);
     expect(system.takeCounts().resumes).toBe(0);
   });
 
-  // It would hold its answer's memory and its place at the accelerator.
-  it('cuts off a caller that takes nothing more, and its attempt', async () => {
+  // A stalled caller would hold the memory of its answer and an accelerator
+  // slot.
+  it('disconnects a stalled caller and stops its attempt', async () => {
     await openStream(STREAM_IDLE_MS);
     const [agent] = system.agents;
     await eventually(() => agent!.sealed.length).toBe(1);
--- a/packages/banyanfold-entry/src/__tests__/streamFaults.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/streamFaults.test.ts
@@ -26,9 +26,9 @@
 });
 afterAll(() => system.stop());
 
-const first = (call: AttemptCall) => framesOf(call).slice(0, 1);
-const foreign = {attemptId: 'another', requestId: 'another'};
-const gone = refuse('unknown-attempt', 404, 'unknown');
+const firstFrame = (call: AttemptCall) => framesOf(call).slice(0, 1);
+const otherAttempt = {attemptId: 'another', requestId: 'another'};
+const unknownAttempt = refuse('unknown-attempt', 404, 'unknown');
 
 interface FaultCase {
   name: string;
@@ -38,25 +38,25 @@
   resumed: number;
 }
 
-/** Faults that the caller must not notice. */
-const MENDED: FaultCase[] = [
+/** Faults that must not affect the answer that the caller receives. */
+const RECOVERABLE_FAULTS: FaultCase[] = [
   {
-    name: "frames of another's attempt among its own",
+    name: 'events of another attempt among its own',
     first: send(call => {
       const [a, b, ...rest] = framesOf(call);
-      return [a!, framesOf(foreign)[1]!, b!, ...rest];
+      return [a!, framesOf(otherAttempt)[1]!, b!, ...rest];
     }),
     calls: 1,
     resumed: 0,
   },
   {
-    name: 'frames that come twice',
+    name: 'events that are sent twice',
     first: send(call => framesOf(call).flatMap(text => [text, text])),
     calls: 1,
     resumed: 0,
   },
   {
-    name: 'an early frame that comes late again',
+    name: 'an event that is repeated later',
     first: send(call => {
       const frames = framesOf(call);
       return [...frames.slice(0, 3), frames[0]!, ...frames.slice(3)];
@@ -65,7 +65,7 @@
     resumed: 0,
   },
   {
-    name: 'a frame that is missing',
+    name: 'a missing event',
     first: send(call => framesOf(call).toSpliced(1, 1)),
     calls: 1,
     resumed: 1,
@@ -78,69 +78,72 @@
   },
   {
     name: 'an agent that dies after the first event',
-    first: send(first, cut),
+    first: send(firstFrame, cut),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'an agent that dies inside an event',
-    first: send(call => [...first(call), framesOf(call)[1]!.slice(0, -9)], cut),
+    first: send(
+      call => [...firstFrame(call), framesOf(call)[1]!.slice(0, -9)],
+      cut,
+    ),
     calls: 1,
     resumed: 1,
   },
   {
-    name: 'a frame without its id',
-    first: send(call => [...first(call), 'data: {"choices":[]}\n\n']),
+    name: 'an event without an id',
+    first: send(call => [...firstFrame(call), 'data: {"choices":[]}\n\n']),
     calls: 1,
     resumed: 1,
   },
   {
-    name: 'a resumed stream that begins again from the start',
-    first: send(first, cut),
+    name: 'a resumed stream that restarts from the first event',
+    first: send(firstFrame, cut),
     resumes: [send(call => framesOf(call))],
     calls: 1,
     resumed: 1,
   },
   {
     name: 'an agent that dies twice',
-    first: send(first, cut),
+    first: send(firstFrame, cut),
     resumes: [send(call => framesOf(call).slice(1, 2), cut)],
     calls: 1,
     resumed: 2,
   },
   {
-    name: 'a resume that is answered with the wrong echo',
-    first: send(first, cut),
+    name: 'a resume answered with the id of another attempt',
+    first: send(firstFrame, cut),
     resumes: [
       call => {
         streamHead(call, 'another');
-        call.res.end(framesOf(foreign).join(''));
+        call.res.end(framesOf(otherAttempt).join(''));
       },
     ],
     calls: 1,
     resumed: 2,
   },
   {
-    name: 'an agent that takes the resume and hangs',
-    first: send(first, cut),
+    name: 'an agent that hangs on the resume',
+    first: send(firstFrame, cut),
     resumes: [() => {}],
     calls: 1,
     resumed: 2,
   },
   {
-    name: 'an agent that falls silent inside its stream',
-    first: send(first, () => {}),
+    name: 'an agent that stops sending within its stream',
+    first: send(firstFrame, () => {}),
     calls: 1,
     resumed: 1,
   },
   {
-    name: 'an agent that dies with nothing sent',
+    name: 'an agent that dies before it answers',
     first: dieSilently,
     calls: 2,
     resumed: 0,
   },
   {
-    name: 'an agent that dies after its head',
+    name: 'an agent that dies after its headers',
     first: send(() => [], cut),
     calls: 2,
     resumed: 0,
@@ -155,7 +158,7 @@
     name: 'an answer to another attempt',
     first: call => {
       streamHead(call, 'another');
-      call.res.end(framesOf(foreign).join(''));
+      call.res.end(framesOf(otherAttempt).join(''));
     },
     calls: 2,
     resumed: 0,
@@ -173,33 +176,36 @@
 }
 
 describe('createEntry, streams that break', () => {
-  // The caller sees a whole answer. The fake agent sends the fault in its
-  // first answer; what comes after a resume or another attempt is right.
-  // Without the safeguard the caller would read a wrong, short or doubled text.
-  it.each(MENDED)('mends $name', async ({first, resumes, calls, resumed}) => {
-    system.next.push(first);
-    system.nextResumes.push(...(resumes ?? []));
-    expect(await streamedText()).toBe(TEXT);
-    const counts = system.takeCounts();
-    expect([counts.calls, counts.resumes]).toEqual([calls, resumed]);
-  });
+  // The fake agent sends the fault in its first answer and answers correctly
+  // after a resume or in another attempt. The caller must receive the complete
+  // answer, not a wrong, short or repeated text.
+  it.each(RECOVERABLE_FAULTS)(
+    'recovers from $name',
+    async ({first, resumes, calls, resumed}) => {
+      system.next.push(first);
+      system.nextResumes.push(...(resumes ?? []));
+      expect(await streamedText()).toBe(TEXT);
+      const counts = system.takeCounts();
+      expect([counts.calls, counts.resumes]).toEqual([calls, resumed]);
+    },
+  );
 
   it.each([
-    ['the agent has forgotten it', [gone]],
+    ['the agent no longer has it', [unknownAttempt]],
     [
-      'no resume brings a further event',
+      'no resume returns a further event',
       Array<Behaviour>(10).fill(dieSilently),
     ],
   ])(
-    'never ends a part cleanly when %s',
-    // The caller has had the first word when the agent dies for good. It must
-    // see an error and a broken connection: most clients take a clean end for
-    // the end of the answer, and a member would be read half an answer.
+    'never ends an incomplete stream cleanly when %s',
+    // The agent dies for good after the first event. The caller must receive an
+    // error and a broken connection, because most clients take a clean end for
+    // the end of the answer and would present half an answer as complete.
     async (_name, resumes) => {
-      system.next.push(send(first, cut));
+      system.next.push(send(firstFrame, cut));
       system.nextResumes.push(...resumes);
-      const {text, brokeOff} = await readRaw();
-      expect(brokeOff).toBe(true);
+      const {text, interrupted} = await readRaw();
+      expect(interrupted).toBe(true);
       expect(text).toContain('You ');
       expect(text).toContain('"outcome":"unknown"');
       expect(text).not.toContain('[DONE]');
@@ -207,8 +213,8 @@
   );
 
   it('raises an error in the openai client for a broken stream', async () => {
-    system.next.push(send(first, cut));
-    system.nextResumes.push(gone);
+    system.next.push(send(firstFrame, cut));
+    system.nextResumes.push(unknownAttempt);
     await expect(streamedText()).rejects.toThrow('the answer was interrupted');
   });
 
@@ -219,14 +225,14 @@
         frame(call.attemptId, 9, '{"after":"the end"}'),
       ]),
     );
-    const {text, brokeOff} = await readRaw();
-    expect(brokeOff).toBe(false);
+    const {text, interrupted} = await readRaw();
+    expect(interrupted).toBe(false);
     expect(text.endsWith('data: [DONE]\n\n')).toBe(true);
   });
 });
 
 /** Reads a stream to its end, clean or not. */
-async function readRaw(): Promise<{text: string; brokeOff: boolean}> {
+async function readRaw(): Promise<{text: string; interrupted: boolean}> {
   const response = await fetch(`http://127.0.0.1:${port}/v1/chat/completions`, {
     method: 'POST',
     headers: {authorization: `Bearer ${CALLER_KEY}`},
@@ -236,8 +242,8 @@
   let text = '';
   try {
     for await (const chunk of response.body!) text += decoder.decode(chunk);
-    return {text, brokeOff: false};
+    return {text, interrupted: false};
   } catch {
-    return {text, brokeOff: true};
+    return {text, interrupted: true};
   }
 }
--- a/packages/banyanfold-entry/src/__tests__/wholeAnswerFaults.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/wholeAnswerFaults.test.ts
@@ -30,7 +30,7 @@
 });
 afterAll(() => system.stop());
 
-function half(headers: Record<string, string | number>): Behaviour {
+function truncatedBody(headers: Record<string, string | number>): Behaviour {
   return call => {
     const body = wholeBody(call.requestId);
     call.res.writeHead(200, {
@@ -42,8 +42,8 @@
   };
 }
 
-/** A body whose end is the end of the connection, cleanly cut in the middle. */
-const halfWithoutLength: Behaviour = call => {
+/** Half a body that is delimited only by the clean end of the connection. */
+const truncatedBodyWithoutLength: Behaviour = call => {
   const body = wholeBody(call.requestId);
   call.socket.end(
     'HTTP/1.1 200 OK\r\nconnection: close\r\n' +
@@ -53,10 +53,10 @@
 };
 
 const FAULTS: Array<[string, Behaviour]> = [
-  ['an agent that dies with nothing sent', dieSilently],
-  ['half a body of a stated length', half({'content-length': 400})],
-  ['half a chunked body', half({})],
-  ['half a body without a length', halfWithoutLength],
+  ['an agent that dies before it answers', dieSilently],
+  ['half a body of a stated length', truncatedBody({'content-length': 400})],
+  ['half a chunked body', truncatedBody({})],
+  ['half a body without a length', truncatedBodyWithoutLength],
   ['a refusal', refuse('busy', 429)],
   ['a refusal by an earlier incarnation', refuse('wrong-incarnation', 409)],
   [
@@ -65,7 +65,7 @@
       answerJson(call, wholeBody('another'), {[HEADERS.attemptId]: 'another'}),
   ],
   [
-    'an engine in trouble',
+    'a server error of the engine',
     call => {
       call.res.writeHead(500, {[HEADERS.attemptId]: call.attemptId});
       call.res.end('{"error":{"message":"out of order"}}');
@@ -74,33 +74,33 @@
 ];
 
 describe('createEntry, whole answers that fail', () => {
-  // The caller gets the whole answer of a second attempt. The first brings a
-  // part, a foreign answer or none; taken as it is, the caller would be read
-  // half an eligibility answer, or another member's.
-  it.each(FAULTS)('tries again after %s', async (_name, fault) => {
+  // The first attempt returns a partial answer, that of another request or
+  // none. The caller must receive the complete answer of a second attempt, not
+  // half an eligibility answer or that of another member.
+  it.each(FAULTS)('retries after %s', async (_name, fault) => {
     system.next.push(fault);
     const answer = await openaiClient(port).chat.completions.create(CHAT);
     expect(answer.choices[0]?.message.content).toBe(TEXT);
     expect(system.takeCounts().calls).toBe(2);
   });
 
-  it('says not run, at once and with Retry-After, when all refuse', async () => {
+  it('reports not-run at once, with Retry-After, when all refuse', async () => {
     for (const agent of system.agents) {
       agent.otherwise = refuse('busy', 429, 'not-run', 1_500);
     }
     expect(await post(port, '/v1/chat/completions')).toMatchSnapshot();
   });
 
-  // Both agents take the request in and die. Whether it ran is for the seal to
-  // say; without its word it may have run, and the caller must not be told
-  // otherwise, or it would lodge the same claim again.
+  // Both agents accept the request and die. Only sealing its attempts can prove
+  // that it never started. Without that proof it may have run, and if `not-run`
+  // were reported, the caller would lodge the same claim again.
   it.each([
     ['started', 502, 'unknown'],
     ['finished', 502, 'unknown'],
     ['unknown', 502, 'unknown'],
     ['never-started', 503, 'not-run'],
   ] as const)(
-    'answers by what the seal says: %s',
+    'derives the outcome from the sealed state: %s',
     async (sealState, status, outcome) => {
       for (const agent of system.agents) {
         agent.otherwise = dieSilently;
@@ -116,10 +116,10 @@
     },
   );
 
-  // The agent takes the request in and hangs. The person who waits gets the
-  // final answer when the selector's target is over, and the attempt is
-  // stopped; it ran, so the outcome is unknown.
-  it('gives up at the deadline and says that it may have run', async () => {
+  // The agent accepts the request and hangs. The caller gets the final answer
+  // at the deadline of its selector, and the attempt is stopped. The request
+  // ran, so its outcome is unknown.
+  it('fails at the deadline and reports that it may have run', async () => {
     for (const agent of system.agents) agent.otherwise = () => {};
     const answer = await post(port, '/v1/chat/completions', {
       headers: {'x-hurry': 'yes'},
@@ -132,50 +132,52 @@
     expect(system.takeCounts().calls).toBe(1);
   });
 
-  it('says not run when no agent takes a connection', async () => {
-    const lonely = new TestSystem();
-    await lonely.start();
-    const lonelyPort = await lonely.startReadyEntry({unreachableAfter: 1_000});
-    await lonely.agents[0]!.stop();
-    const answer = await post(lonelyPort, '/v1/chat/completions');
+  it('reports not-run when no agent accepts a connection', async () => {
+    const singleAgentSystem = new TestSystem();
+    await singleAgentSystem.start();
+    const singleAgentPort = await singleAgentSystem.startReadyEntry({
+      unreachableAfter: 1_000,
+    });
+    await singleAgentSystem.agents[0]!.stop();
+    const answer = await post(singleAgentPort, '/v1/chat/completions');
     expect([answer.status, answer.outcome, answer.code]).toEqual([
       503,
       'not-run',
       'unreachable',
     ]);
-    await lonely.stop();
+    await singleAgentSystem.stop();
   });
 
-  it('refuses a caller over its concurrency', async () => {
-    const held: AttemptCall[] = [];
+  it('refuses a caller over its concurrency limit', async () => {
+    const heldCalls: AttemptCall[] = [];
     for (const agent of system.agents) {
-      agent.otherwise = call => held.push(call);
+      agent.otherwise = call => heldCalls.push(call);
     }
-    const open = Array.from({length: 8}, () =>
+    const pending = Array.from({length: 8}, () =>
       post(port, '/v1/chat/completions'),
     );
-    await eventually(() => held.length).toBe(8);
+    await eventually(() => heldCalls.length).toBe(8);
     const answer = await post(port, '/v1/chat/completions');
     expect([answer.status, answer.outcome, answer.retryAfter]).toEqual([
       429,
       'not-run',
       '1',
     ]);
-    for (const call of held) answerWhole(call);
-    const statuses = (await Promise.all(open)).map(({status}) => status);
+    for (const call of heldCalls) answerWhole(call);
+    const statuses = (await Promise.all(pending)).map(({status}) => status);
     expect(new Set(statuses)).toEqual(new Set([200]));
   });
 
-  it('passes on what the caller did wrong, without another try', async () => {
+  it('reports an invalid request without a retry', async () => {
     system.next.push(refuse('engine-rejected', 400));
     const answer = await post(port, '/v1/chat/completions');
     expect([answer.status, answer.outcome]).toEqual([400, 'not-run']);
     expect(system.takeCounts().calls).toBe(1);
   });
 
-  // The caller hangs up while the agent works. The attempt must be stopped, or
-  // an accelerator works on for nobody.
-  it('stops the attempt when the caller goes away', async () => {
+  // The caller disconnects while the agent works. The attempt must be stopped,
+  // or the accelerator would generate an answer that nobody reads.
+  it('stops the attempt when the caller disconnects', async () => {
     const abort = new AbortController();
     system.next.push(() => abort.abort());
     const request = openaiClient(port).chat.completions.create(CHAT, {
