--- a/packages/banyanfold-entry/src/attempts/runAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/runAttempt.ts
@@ -87,9 +87,9 @@
       body: job.body,
       signal: this.abortController.signal,
     });
-    const first = await this.handleResponse(reply, onFirstEvent);
-    if (!this.canRecoverAnswer(first)) return first;
-    return this.recoverAnswer(first, onFirstEvent);
+    const firstResult = await this.handleResponse(reply, onFirstEvent);
+    if (!this.canRecoverAnswer(firstResult)) return firstResult;
+    return this.recoverAnswer(firstResult, onFirstEvent);
   }
 
   /**
@@ -103,7 +103,7 @@
   }
 
   private async recoverAnswer(
-    first: AttemptResult,
+    firstResult: AttemptResult,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
@@ -124,7 +124,7 @@
       // Sealing the attempt determines whether it started.
       if (result.kind === 'refused') break;
     }
-    return first;
+    return firstResult;
   }
 
   private async handleResponse(
