--- a/packages/banyanfold-entry/src/__tests__/askerOf.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/identifyCaller.test.ts
@@ -1,7 +1,7 @@
 import type {IncomingMessage} from 'node:http';
 import {describe, expect, it} from 'vitest';
 import {HEADERS} from '@banyanfold/protocol';
-import {askerOf} from '../requests/acceptRequest.js';
+import {identifyCaller} from '../requests/acceptRequest.js';
 
 const CALLER = {
   name: 'phone',
@@ -11,27 +11,27 @@
   maxConcurrent: 1,
 };
 
-function ask(desk: string | undefined) {
+function identify(desk: string | undefined) {
   const headers = {authorization: 'Bearer k', [HEADERS.desk]: desk};
-  return () => askerOf({headers} as unknown as IncomingMessage, CALLER);
+  return () => identifyCaller({headers} as unknown as IncomingMessage, CALLER);
 }
 
-describe('askerOf', () => {
+describe('identifyCaller', () => {
   it.each([
     ['its own desk when it names none', undefined, 'phone'],
     ['its own desk', 'phone', 'phone'],
     ['a desk that its settings list', 'drafting', 'drafting'],
-  ])('gives %s', (_, named, desk) => {
-    expect(ask(named)()).toEqual({
+  ])('accepts %s', (_, named, desk) => {
+    expect(identify(named)()).toEqual({
       caller: 'phone',
       desk,
       headers: named ? {[HEADERS.desk]: named} : {},
     });
   });
 
-  // A caller of the phone desk names the counter in a header. Answering would
-  // give it the counter's models at the counter's priority.
-  it('refuses a desk that is not the caller’s', () => {
-    expect(ask('counter')).toThrow('may not ask for the desk "counter"');
+  // A caller of the phone desk names the counter in a header. Accepting it
+  // would give the caller the counter's models at the counter's priority.
+  it('refuses a desk that its settings do not list', () => {
+    expect(identify('counter')).toThrow('may not use the desk "counter"');
   });
 });
--- a/packages/banyanfold-entry/src/attempts/attemptOpening.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptResponse.ts
@@ -8,8 +8,8 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Headers that are this hop's own and are never passed on. */
-const HEADERS_KEPT_BACK = new Set([
+/** Hop-by-hop and internal headers, which are not forwarded to the caller. */
+const UNFORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
@@ -17,7 +17,7 @@
   HEADERS.load,
 ]);
 
-/** Failures before a connection stood: no byte of a request was sent. */
+/** Errors before a connection was established: no byte was sent. */
 const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -25,7 +25,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** An agent's answer whose head was checked. */
+/** An agent's answer whose attempt id matches; the body is not yet read. */
 export interface AttemptAnswer {
   kind: 'answered';
   status: number;
@@ -34,7 +34,7 @@
   body: Dispatcher.ResponseData['body'];
 }
 
-/** A refusal in the agent's own words. */
+/** A refusal by the agent. */
 export interface AttemptRefusal {
   kind: 'refused';
   status: number;
@@ -45,24 +45,27 @@
   retryAfterMs: number | undefined;
 }
 
-/** No answer, or one that can't be trusted. */
+/** No answer, or an answer to another attempt. */
 export interface AttemptFailure {
   kind: 'failed';
-  /** True when it is proved that no byte of the request was sent. */
+  /** True if no byte of the request can have been sent. */
   neverSent: boolean;
   reason: string;
 }
 
-export type AttemptOpening = AttemptAnswer | AttemptRefusal | AttemptFailure;
+export type AttemptResponse = AttemptAnswer | AttemptRefusal | AttemptFailure;
 
-/** Checks the head of an agent's answer to an attempt. */
-export async function readOpening(
+/**
+ * Classifies an agent's response by its headers. The body of a refusal is read,
+ * that of an answer is left to the caller.
+ */
+export async function readAttemptResponse(
   attemptId: string,
   response: Dispatcher.ResponseData,
-): Promise<AttemptOpening> {
+): Promise<AttemptResponse> {
   const headers = flattenHeaders(response.headers);
   if (headers[HEADERS.attemptId] !== attemptId) {
-    // A crossed or late answer. Its connection can't be trusted either.
+    // The answer belongs to another attempt, so the connection is closed too.
     response.body.on('error', () => {}).destroy();
     return {kind: 'failed', neverSent: false, reason: 'wrong-echo'};
   }
@@ -79,19 +82,19 @@
   };
 }
 
-/** The headers of an agent's answer that the caller gets. */
-export function callerHeaders(
+/** Returns the headers of an agent's answer that are sent to the caller. */
+export function forwardableHeaders(
   headers: Record<string, string>,
 ): Record<string, string> {
   const passed: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (!HEADERS_KEPT_BACK.has(name)) passed[name] = value;
+    if (!UNFORWARDED_HEADERS.has(name)) passed[name] = value;
   }
   return passed;
 }
 
-/** The load that rides on an answer, or undefined when it can't be read. */
-export function digestOf(
+/** Parses the load header of an answer; undefined if absent or invalid. */
+export function parseLoadDigest(
   headers: Record<string, string>,
 ): LoadDigest | undefined {
   const text = headers[HEADERS.load];
@@ -103,8 +106,10 @@
   }
 }
 
-/** What a failed call proves. */
-export function failureOf(error: unknown): AttemptFailure {
+/**
+ * Classifies the error of a failed call by whether a byte may have been sent.
+ */
+export function failureFromError(error: unknown): AttemptFailure {
   const {code, syscall, name} = error as {
     code?: string;
     syscall?: string;
@@ -131,11 +136,13 @@
     outcome: outcome === 'not-run' ? 'not-run' : 'unknown',
     code: String(body?.error?.code ?? 'refused'),
     message: String(body?.error?.message ?? 'the agent refused'),
-    retryAfterMs: body?.retryAfterMs || retryAfterOf(headers),
+    retryAfterMs: body?.retryAfterMs || parseRetryAfterMs(headers),
   };
 }
 
-function retryAfterOf(headers: Record<string, string>): number | undefined {
+function parseRetryAfterMs(
+  headers: Record<string, string>,
+): number | undefined {
   const seconds = Number(headers[HEADERS.retryAfter] ?? 0);
   return seconds > 0 ? seconds * MS_PER_SECOND : undefined;
 }
--- a/packages/banyanfold-entry/src/attempts/attemptTransport.ts
+++ b/packages/banyanfold-entry/src/attempts/attemptTransport.ts
@@ -2,22 +2,26 @@
 import {HEADERS, PATHS} from '@banyanfold/protocol';
 import type {EntrySettings} from '../settings.js';
 import type {AgentState} from '../view/agentState.js';
-import {failureOf, readOpening, type AttemptOpening} from './attemptOpening.js';
+import {
+  failureFromError,
+  readAttemptResponse,
+  type AttemptResponse,
+} from './attemptResponse.js';
 
-/** Which attempt is meant, and at which agent. */
-export interface AttemptAddress {
+/** An attempt, its agent, and the signal that aborts a call about it. */
+export interface AttemptTarget {
   agent: AgentState;
   attemptId: string;
   signal: AbortSignal;
 }
 
-/** Comes back for an attempt's answer. */
-export interface ResumeRequest extends AttemptAddress {
+/** Fetches the rest of an attempt's answer from its agent. */
+export interface ResumeRequest extends AttemptTarget {
   requestId: string;
 }
 
-/** One attempt as it goes to an agent. */
-export interface AttemptRequest extends AttemptAddress {
+/** An attempt to send to an agent. */
+export interface AttemptRequest extends AttemptTarget {
   /** `v1/chat/completions`, or `services/{service}/{path…}`. */
   path: string;
   headers: Record<string, string>;
@@ -27,9 +31,10 @@
 /**
  * Sends attempts to agents over HTTP/1.1.
  *
- * Each request has a connection to itself (pipelining 1) and is sent once:
- * undici fails a request whose keep-alive connection broke instead of sending
- * it again, so no request that may not be repeated runs twice behind our back.
+ * Each connection carries one request at a time (pipelining 1), and each
+ * request is sent once: if a keep-alive connection breaks, undici fails the
+ * request instead of resending it. A resent request that may not be repeated
+ * could run twice.
  */
 export class AttemptTransport {
   private readonly dispatcher: Agent;
@@ -39,14 +44,14 @@
       pipelining: 1,
       connections: settings.attempts.connectionsPerAgent,
       connect: {timeout: settings.attempts.connectMs},
-      // Deadlines come from the request's own budget, on the clock.
+      // The request's own deadline, run on the injected clock, limits both.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
   }
 
-  /** Sends an attempt and waits for the head of its answer. */
-  async open(request: AttemptRequest): Promise<AttemptOpening> {
+  /** Sends an attempt and waits for the headers of its answer. */
+  async open(request: AttemptRequest): Promise<AttemptResponse> {
     return this.send(request, {
       method: 'POST',
       path: `${PATHS.attempt}${request.path}`,
@@ -55,17 +60,17 @@
     });
   }
 
-  /** Asks for a stream's events after `lastSeq`, or for a whole answer. */
+  /** Requests a stream's events after `lastSeq`, or a whole answer (0). */
   async resume(
     request: ResumeRequest,
     lastSeq: number,
-  ): Promise<AttemptOpening> {
+  ): Promise<AttemptResponse> {
     return this.send(request, {
       method: 'GET',
       path: `${PATHS.attempt}${request.attemptId}`,
       headers: {
         [HEADERS.lastEventId]: String(lastSeq),
-        // An agent that was restarted asks the engine by both ids.
+        // A restarted agent needs both ids to query the engine.
         [HEADERS.requestId]: request.requestId,
       },
     });
@@ -76,14 +81,14 @@
   }
 
   private async send(
-    request: AttemptAddress,
+    request: AttemptTarget,
     options: {
       method: 'GET' | 'POST';
       path: string;
       headers: Record<string, string>;
       body?: Buffer;
     },
-  ): Promise<AttemptOpening> {
+  ): Promise<AttemptResponse> {
     const {host, port} = request.agent.vm;
     try {
       const response = await this.dispatcher.request({
@@ -95,9 +100,9 @@
         },
         signal: request.signal,
       });
-      return await readOpening(request.attemptId, response);
+      return await readAttemptResponse(request.attemptId, response);
     } catch (error) {
-      return failureOf(error);
+      return failureFromError(error);
     }
   }
 }
--- a/packages/banyanfold-entry/src/attempts/collectAnswer.ts
+++ b/packages/banyanfold-entry/src/attempts/collectAnswer.ts
@@ -1,20 +1,21 @@
 import type {WholeAnswer} from '../requests/types.js';
-import {callerHeaders, type AttemptAnswer} from './attemptOpening.js';
+import {forwardableHeaders, type AttemptAnswer} from './attemptResponse.js';
 
 /**
- * Reads an answer that isn't streamed, to its end.
+ * Reads the whole body of an answer that isn't streamed.
  *
- * A connection that breaks in an answer without a length looks like its end.
- * Such an answer is not taken, so that no part can pass for the whole.
+ * An answer with neither a length nor chunked encoding ends with its
+ * connection, so a broken connection would make a partial body look complete.
+ * Such an answer is rejected.
  *
- * @returns the answer, or why it can't be taken.
+ * @returns the answer, or the reason for rejecting it.
  */
 export async function collectAnswer(
-  opened: AttemptAnswer,
+  reply: AttemptAnswer,
   limitBytes: number,
 ): Promise<WholeAnswer | string> {
-  const {headers, body, status} = opened;
-  // The loop below may be left before the error that its end gives comes.
+  const {headers, body, status} = reply;
+  // The body can emit an error after the loop below has ended.
   body.on('error', () => {});
   const lengthText = headers['content-length'];
   const isChunked = headers['transfer-encoding']?.includes('chunked') === true;
@@ -39,7 +40,7 @@
   return {
     status,
     headers: {
-      ...callerHeaders(headers),
+      ...forwardableHeaders(headers),
       'content-length': String(sizeBytes),
     },
     body: Buffer.concat(chunks),
--- a/packages/banyanfold-entry/src/attempts/finalError.ts
+++ b/packages/banyanfold-entry/src/attempts/finalError.ts
@@ -1,12 +1,12 @@
 import type {RoutingDecision} from '@banyanfold/decisions';
 import type {Outcome} from '@banyanfold/protocol';
 import {ApiError, type ApiErrorCode} from '../http/apiErrors.js';
-import type {AttemptRefusal} from './attemptOpening.js';
+import type {AttemptRefusal} from './attemptResponse.js';
 
-const UNREACHABLE_RETRY_MS = 1000;
-const REQUEST_FAULT_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
+const DEFAULT_RETRY_AFTER_MS = 1000;
+const INVALID_REQUEST_STATUSES: ReadonlySet<number> = new Set([400, 413, 422]);
 
-/** The last attempt that brought no answer. */
+/** The result of the last attempt without an answer. */
 export type LastFailure =
   | {kind: 'refused'; refusal: AttemptRefusal}
   | {kind: 'failed'; neverSent: boolean; reason: string};
@@ -19,62 +19,64 @@
 > = {
   'no-copy': {
     code: 'no_copy',
-    message: 'no backend server holds it now; it is being loaded',
+    message: 'no backend server has it loaded; it is being loaded now',
   },
   'all-busy': {
     code: 'all_busy',
-    message: 'no backend server can answer in time now',
+    message: 'no backend server can answer in time',
   },
   'no-runner': {
     code: 'no_runner',
-    message: 'no backend server can be reached now',
+    message: 'no backend server is reachable',
   },
 };
 
-/** A refusal by the entry's own view, before any attempt. */
-export function routeRefusal(decision: RouteRefusal): ApiError {
+/** The error for a request that routing refused. */
+export function routeRefusalError(decision: RouteRefusal): ApiError {
   const {code, message} = ROUTE_ERRORS[decision.code];
   return new ApiError(code, message, {retryAfterMs: decision.retryAfterMs});
 }
 
 /**
- * The answer to a request whose tries are over.
+ * The error for a request that is not retried any further.
  *
- * @param refusal why no further try was made, when routing refused it.
- * @param outcome what is proved of all its attempts.
+ * @param refusal the routing refusal that prevented a further attempt, if any.
+ * @param outcome whether any of its attempts may have run.
  */
 export function finalError(
-  last: LastFailure | undefined,
+  failure: LastFailure | undefined,
   refusal: ApiError | undefined,
   outcome: Outcome,
 ): ApiError {
-  if (!last) return refusal ?? new ApiError('internal', 'nothing was tried');
-  if (outcome === 'unknown') return unknownError(last);
-  if (last.kind === 'refused') return refusedError(last.refusal);
-  const code = last.reason === 'deadline' ? 'deadline_exceeded' : 'unreachable';
-  return new ApiError(code, `not run: ${last.reason}`, {
-    retryAfterMs: refusal?.retryAfterMs ?? UNREACHABLE_RETRY_MS,
+  if (!failure) return refusal ?? new ApiError('internal', 'no attempt made');
+  if (outcome === 'unknown') return unknownOutcomeError(failure);
+  if (failure.kind === 'refused') return agentRefusalError(failure.refusal);
+  const code =
+    failure.reason === 'deadline' ? 'deadline_exceeded' : 'unreachable';
+  return new ApiError(code, `not run: ${failure.reason}`, {
+    retryAfterMs: refusal?.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS,
   });
 }
 
-function unknownError(last: LastFailure): ApiError {
-  const reason = last.kind === 'refused' ? last.refusal.message : last.reason;
+function unknownOutcomeError(failure: LastFailure): ApiError {
+  const reason =
+    failure.kind === 'refused' ? failure.refusal.message : failure.reason;
   const code = reason === 'deadline' ? 'deadline_exceeded' : 'outcome_unknown';
-  const message = `it may have run; no answer came back: ${reason}`;
+  const message = `may have run; no answer was received: ${reason}`;
   return new ApiError(code, message, {outcome: 'unknown'});
 }
 
-/** Whether an agent refused for what the caller sent. */
-export function isRequestFault({status}: AttemptRefusal): boolean {
-  return REQUEST_FAULT_STATUSES.has(status);
+/** Whether an agent refused because the request itself is invalid. */
+export function isInvalidRequestRefusal({status}: AttemptRefusal): boolean {
+  return INVALID_REQUEST_STATUSES.has(status);
 }
 
-function refusedError(refusal: AttemptRefusal): ApiError {
+function agentRefusalError(refusal: AttemptRefusal): ApiError {
   const {message, code, retryAfterMs} = refusal;
-  if (isRequestFault(refusal)) {
+  if (isInvalidRequestRefusal(refusal)) {
     return new ApiError('invalid_request', `${code}: ${message}`);
   }
   return new ApiError('agent_refused', `${code}: ${message}`, {
-    retryAfterMs: retryAfterMs ?? UNREACHABLE_RETRY_MS,
+    retryAfterMs: retryAfterMs ?? DEFAULT_RETRY_AFTER_MS,
   });
 }
--- a/packages/banyanfold-entry/src/attempts/frameScanner.ts
+++ b/packages/banyanfold-entry/src/attempts/frameScanner.ts
@@ -6,76 +6,78 @@
 const DIGIT_NINE = 0x39;
 const RADIX = 10;
 
-/** Why a stream can't be followed further. */
+/** Why a stream can't be read any further. */
 export type FrameFault = 'gap' | 'malformed' | 'too-long';
 
-export interface ScannedFrames {
-  /** Events to pass on in order, without their id lines. */
-  slices: Buffer[];
+export interface ScanResult {
+  /** Events to forward, in order and without their id lines. */
+  events: Buffer[];
   fault: FrameFault | undefined;
-  /** Frames of another attempt, or passed on before. */
+  /** Events of another attempt or already forwarded. */
   dropped: number;
 }
 
-/** How the scanner is built. */
 export interface FrameScannerOptions {
   attemptId: string;
   maxEventBytes: number;
 }
 
 /**
- * Takes one attempt's events from a stream without parsing their JSON.
+ * Extracts one attempt's server-sent events without parsing their JSON.
  *
- * An answer can be crossed with another's, come twice after a resume, or lack
- * an event in its middle; the caller would read a wrong or a short answer
- * that looks whole. Each event names its attempt and its number, so what is
- * foreign or doubled is dropped, and a gap ends the scan.
+ * A stream can contain events of another attempt, repeat events after a resume,
+ * or miss an event. Forwarding it as is would give the caller a wrong or
+ * incomplete answer that looks complete. Each event carries an id of the form
+ * `attemptId/seq`: foreign and repeated events are dropped, and a gap is a
+ * fault.
  */
 export class FrameScanner {
-  /** The number of the last event passed on. */
+  /** The sequence number of the last event forwarded. */
   lastSeq = 0;
-  /** Whether the end marker was passed on. */
+  /** Whether the end marker (`[DONE]`) was forwarded. */
   done = false;
-  private held: Buffer = Buffer.alloc(0);
-  private readonly prefix: Buffer;
+  private partialEvent: Buffer = Buffer.alloc(0);
+  private readonly ownIdPrefix: Buffer;
 
   constructor(private readonly options: FrameScannerOptions) {
-    this.prefix = Buffer.from(`id: ${options.attemptId}/`);
+    this.ownIdPrefix = Buffer.from(`id: ${options.attemptId}/`);
   }
 
-  /** Forgets a partial event, before a resumed stream is read. */
+  /** Discards a partial event before a resumed stream is read. */
   reset(): void {
-    this.held = Buffer.alloc(0);
+    this.partialEvent = Buffer.alloc(0);
   }
 
-  /** Scans the next chunk; a partial event is held until it is complete. */
-  scan(chunk: Buffer): ScannedFrames {
-    const result: ScannedFrames = {slices: [], fault: undefined, dropped: 0};
+  /** Scans the next chunk; a partial event is kept until it is complete. */
+  scan(chunk: Buffer): ScanResult {
+    const result: ScanResult = {events: [], fault: undefined, dropped: 0};
     const data =
-      this.held.length > 0 ? Buffer.concat([this.held, chunk]) : chunk;
+      this.partialEvent.length > 0
+        ? Buffer.concat([this.partialEvent, chunk])
+        : chunk;
     let start = 0;
     while (!this.done && result.fault === undefined) {
       const end = data.indexOf(EVENT_END, start);
       if (end < 0) break;
-      this.takeEvent(data.subarray(start, end + EVENT_END.length), result);
+      this.scanEvent(data.subarray(start, end + EVENT_END.length), result);
       start = end + EVENT_END.length;
     }
-    this.held = data.subarray(start);
-    if (this.held.length > this.options.maxEventBytes) {
+    this.partialEvent = data.subarray(start);
+    if (this.partialEvent.length > this.options.maxEventBytes) {
       result.fault = 'too-long';
     }
     return result;
   }
 
-  private takeEvent(event: Buffer, result: ScannedFrames): void {
+  private scanEvent(event: Buffer, result: ScanResult): void {
     if (event[0] === COLON) return;
-    if (!startsWith(event, this.prefix)) {
-      if (startsWith(event, ID_FIELD)) result.dropped++;
+    if (!bufferStartsWith(event, this.ownIdPrefix)) {
+      if (bufferStartsWith(event, ID_FIELD)) result.dropped++;
       else result.fault = 'malformed';
       return;
     }
-    const lineEnd = event.indexOf(LINE_FEED, this.prefix.length);
-    const seq = readNumber(event, this.prefix.length, lineEnd);
+    const lineEnd = event.indexOf(LINE_FEED, this.ownIdPrefix.length);
+    const seq = parseDecimal(event, this.ownIdPrefix.length, lineEnd);
     if (seq === undefined) {
       result.fault = 'malformed';
     } else if (seq <= this.lastSeq) {
@@ -86,19 +88,19 @@
       this.lastSeq = seq;
       const slice = event.subarray(lineEnd + 1);
       this.done = slice.equals(DONE_DATA);
-      result.slices.push(slice);
+      result.events.push(slice);
     }
   }
 }
 
 const ID_FIELD = Buffer.from('id: ');
 
-function startsWith(data: Buffer, prefix: Buffer): boolean {
+function bufferStartsWith(data: Buffer, prefix: Buffer): boolean {
   if (data.length < prefix.length) return false;
   return data.compare(prefix, 0, prefix.length, 0, prefix.length) === 0;
 }
 
-function readNumber(
+function parseDecimal(
   data: Buffer,
   start: number,
   end: number,
--- a/packages/banyanfold-entry/src/attempts/runAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/runAttempt.ts
@@ -3,16 +3,16 @@
 import type {RequestJob, RequestResult} from '../requests/types.js';
 import type {AgentState} from '../view/agentState.js';
 import {
-  digestOf,
+  parseLoadDigest,
   type AttemptAnswer,
-  type AttemptOpening,
+  type AttemptResponse,
   type AttemptRefusal,
-} from './attemptOpening.js';
+} from './attemptResponse.js';
 import {collectAnswer} from './collectAnswer.js';
-import {pauseBeforeResume} from './resumePause.js';
+import {waitBeforeResume} from './waitBeforeResume.js';
 import {StreamRelay} from './streamRelay.js';
 
-const FIRST_SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 /** How one attempt ended. */
 export type AttemptResult =
@@ -28,7 +28,7 @@
   incarnation: number;
 }
 
-/** Runs one attempt at one agent, and notes what it tells of that agent. */
+/** Runs one attempt on an agent and records its outcome for that agent. */
 export async function runAttempt(
   options: AttemptOptions,
 ): Promise<AttemptResult> {
@@ -37,7 +37,7 @@
   job.attempts++;
   try {
     const result = await new AttemptRun(options).run();
-    noteOutcome(agent, result);
+    recordOutcome(agent, result);
     return result;
   } finally {
     agent.attemptEnded(attemptId);
@@ -45,9 +45,9 @@
 }
 
 class AttemptRun {
-  private readonly stop = new AbortController();
+  private readonly abortController = new AbortController();
   private readonly sentMs: number;
-  /** Whether the deadline ended the attempt. */
+  /** Whether the request's deadline aborted the attempt. */
   private timedOut = false;
 
   constructor(private readonly options: AttemptOptions) {
@@ -56,60 +56,64 @@
 
   async run(): Promise<AttemptResult> {
     const {context, job} = this.options;
-    const onGone = () => this.stop.abort();
-    job.signal.addEventListener('abort', onGone);
+    const onCallerGone = () => this.abortController.abort();
+    job.signal.addEventListener('abort', onCallerGone);
     const timer = context.clock.setTimer(
       job.wholeDeadlineMs - this.sentMs,
       () => {
         this.timedOut = true;
-        this.stop.abort();
+        this.abortController.abort();
       },
     );
     try {
-      return await this.exchange(() => timer.cancel());
+      return await this.execute(() => timer.cancel());
     } finally {
       timer.cancel();
-      job.signal.removeEventListener('abort', onGone);
+      job.signal.removeEventListener('abort', onCallerGone);
     }
   }
 
-  /** `onFirstEvent` ends the deadline: a stream that runs isn't cut off. */
-  private async exchange(onFirstEvent: () => void): Promise<AttemptResult> {
+  /**
+   * Sends the attempt and handles its answer. `onFirstEvent` cancels the
+   * deadline timer, so that a stream that has begun is not cut off.
+   */
+  private async execute(onFirstEvent: () => void): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
-    const opened = await context.transport.open({
+    const reply = await context.transport.open({
       agent,
       attemptId,
       path: job.path,
       headers: this.headers(),
       body: job.body,
-      signal: this.stop.signal,
+      signal: this.abortController.signal,
     });
-    const first = await this.take(opened, onFirstEvent);
-    if (!this.mayRecover(first)) return first;
-    return this.recover(first, onFirstEvent);
+    const firstResult = await this.handleResponse(reply, onFirstEvent);
+    if (!this.canRecoverAnswer(firstResult)) return firstResult;
+    return this.recoverAnswer(firstResult, onFirstEvent);
   }
 
   /**
-   * One that may not be repeated is lost with its answer, unless the answer
-   * can still be had: its agent keeps it for a while.
+   * Whether to fetch the answer of a failed attempt again. A request that may
+   * not be repeated can't be retried, but its agent keeps the answer for a
+   * while.
    */
-  private mayRecover(result: AttemptResult): boolean {
+  private canRecoverAnswer(result: AttemptResult): boolean {
     const {repeatable} = this.options.job.target.selector;
     return result.kind === 'failed' && !result.neverSent && !repeatable;
   }
 
-  private async recover(
-    first: AttemptResult,
+  private async recoverAnswer(
+    firstResult: AttemptResult,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
     const {resumeTries} = context.settings.attempts;
-    const {signal} = this.stop;
-    const address = {agent, attemptId, requestId: job.requestId, signal};
+    const {signal} = this.abortController;
+    const target = {agent, attemptId, requestId: job.requestId, signal};
     for (let tries = 0; tries < resumeTries && !signal.aborted; tries++) {
-      await pauseBeforeResume(context, tries);
-      const opened = await context.transport.resume(address, 0);
-      const result = await this.take(opened, onFirstEvent);
+      await waitBeforeResume(context, tries);
+      const reply = await context.transport.resume(target, 0);
+      const result = await this.handleResponse(reply, onFirstEvent);
       context.logger.warn('answer-resume', {
         request: job.requestId,
         attempt: attemptId,
@@ -117,35 +121,35 @@
         result: result.kind,
       });
       if (result.kind === 'done') return result;
-      // Whether it started is for the seal to say.
+      // Sealing the attempt determines whether it started.
       if (result.kind === 'refused') break;
     }
-    return first;
+    return firstResult;
   }
 
-  private async take(
-    opened: AttemptOpening,
+  private async handleResponse(
+    reply: AttemptResponse,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent} = this.options;
     if (job.signal.aborted) return callerGone();
-    if (opened.kind === 'failed') {
-      return {...opened, reason: this.reasonOr(opened.reason)};
+    if (reply.kind === 'failed') {
+      return {...reply, reason: this.endReason(reply.reason)};
     }
-    const digest = digestOf(opened.headers);
+    const digest = parseLoadDigest(reply.headers);
     if (digest) agent.applyDigest(digest, context.clock.nowMs());
-    if (opened.kind === 'refused') return {kind: 'refused', refusal: opened};
-    if (this.isEngineFailure(opened)) {
-      opened.body.on('error', () => {}).resume();
-      return this.failed(`status-${opened.status}`);
+    if (reply.kind === 'refused') return {kind: 'refused', refusal: reply};
+    if (this.isEngineFailure(reply)) {
+      reply.body.on('error', () => {}).resume();
+      return this.failed(`status-${reply.status}`);
     }
-    return opened.isStream && job.target.kind !== 'service'
-      ? this.relay(opened, onFirstEvent)
-      : this.collect(opened);
+    return reply.isStream && job.target.kind !== 'service'
+      ? this.relay(reply, onFirstEvent)
+      : this.collect(reply);
   }
 
   private async relay(
-    opened: AttemptAnswer,
+    reply: AttemptAnswer,
     onFirstEvent: () => void,
   ): Promise<AttemptResult> {
     const {context, job, agent, attemptId} = this.options;
@@ -154,7 +158,7 @@
       job,
       agent,
       attemptId,
-      signal: this.stop.signal,
+      signal: this.abortController.signal,
       onFirstEvent: () => {
         onFirstEvent();
         const tookMs = context.clock.nowMs() - this.sentMs;
@@ -166,34 +170,35 @@
         );
       },
     });
-    const result = await relay.run(opened);
+    const result = await relay.run(reply);
     if (result.kind !== 'broken') return {kind: 'done', result};
-    const reason = this.reasonOr(result.reason);
+    const reason = this.endReason(result.reason);
     if (!result.started) return this.failed(reason);
     return {kind: 'done', result: {kind: 'broken', reason}};
   }
 
-  private async collect(opened: AttemptAnswer): Promise<AttemptResult> {
+  private async collect(reply: AttemptAnswer): Promise<AttemptResult> {
     const {context, job} = this.options;
     const {answerBytes} = context.settings.limits;
-    const answer = await collectAnswer(opened, answerBytes);
+    const answer = await collectAnswer(reply, answerBytes);
     if (job.signal.aborted) return callerGone();
-    if (typeof answer === 'string') return this.failed(this.reasonOr(answer));
+    if (typeof answer === 'string') return this.failed(this.endReason(answer));
     return {kind: 'done', result: {kind: 'answer', answer}};
   }
 
-  /** A 5xx that no agent has signed comes from an engine in trouble. */
-  private isEngineFailure(opened: AttemptAnswer): boolean {
+  /** A 5xx without the agent's outcome header comes from the engine. */
+  private isEngineFailure(reply: AttemptAnswer): boolean {
     const {target} = this.options.job;
     if (target.kind === 'service' || !target.selector.repeatable) return false;
-    return opened.status >= FIRST_SERVER_ERROR;
+    return reply.status >= MIN_SERVER_ERROR_STATUS;
   }
 
   private failed(reason: string): AttemptResult {
     return {kind: 'failed', neverSent: false, reason};
   }
 
-  private reasonOr(reason: string): string {
+  /** `deadline` if the deadline aborted the attempt, else `reason`. */
+  private endReason(reason: string): string {
     return this.timedOut ? 'deadline' : reason;
   }
 
@@ -210,10 +215,10 @@
       [HEADERS.priority]: String(job.target.selector.priority),
       [HEADERS.firstTokenBudgetMs]: budget(job.firstTokenDeadlineMs),
       [HEADERS.wholeBudgetMs]: budget(job.wholeDeadlineMs),
-      [HEADERS.promptTokens]: String(job.facts.promptTokens),
-      [HEADERS.maxTokens]: String(job.facts.maxTokens),
+      [HEADERS.promptTokens]: String(job.metadata.promptTokens),
+      [HEADERS.maxTokens]: String(job.metadata.maxTokens),
       [HEADERS.prefixHash]: job.prefixHash,
-      // A service's call takes no KV cache, and agents refuse a zero here.
+      // A service call uses no KV cache, and agents reject a value of 0.
       ...(job.target.kvBytesPerToken > 0 && {
         [HEADERS.kvBytesPerToken]: String(job.target.kvBytesPerToken),
       }),
@@ -228,8 +233,11 @@
   return {kind: 'done', result: {kind: 'caller-gone'}};
 }
 
-/** A refusal is no failure: the agent works, and says that it is full. */
-function noteOutcome(agent: AgentState, result: AttemptResult): void {
+/**
+ * Records a failure or a success for the ejection of agents. A refusal counts
+ * as neither: the agent works but has no capacity.
+ */
+function recordOutcome(agent: AgentState, result: AttemptResult): void {
   if (result.kind === 'failed') agent.recordFailure();
   if (result.kind !== 'done') return;
   const {kind} = result.result;
--- a/packages/banyanfold-entry/src/attempts/runRequest.ts
+++ b/packages/banyanfold-entry/src/attempts/runRequest.ts
@@ -12,15 +12,18 @@
 import type {AgentState} from '../view/agentState.js';
 import {
   finalError,
-  isRequestFault,
-  routeRefusal,
+  isInvalidRequestRefusal,
+  routeRefusalError,
   type LastFailure,
 } from './finalError.js';
-import {OutcomeProof} from './outcomeProof.js';
+import {OutcomeTracker} from './outcomeTracker.js';
 import {runAttempt, type AttemptResult} from './runAttempt.js';
 import {sealAttempt, type SealTarget} from './sealAttempt.js';
 
-/** Tries a request at one agent after another, within its budgets. */
+/**
+ * Runs a request: routes it to an agent and retries on other agents until it is
+ * answered, a retry is not allowed, or its time or retry budget is spent.
+ */
 export async function runRequest(
   context: EntryContext,
   job: RequestJob,
@@ -29,9 +32,9 @@
 }
 
 class RequestRun {
-  private readonly proof = new OutcomeProof();
+  private readonly outcomes = new OutcomeTracker();
   private readonly triedVmIds: string[] = [];
-  private last: LastFailure | undefined;
+  private lastFailure: LastFailure | undefined;
 
   constructor(
     private readonly context: EntryContext,
@@ -44,60 +47,62 @@
       if (this.job.signal.aborted) return {kind: 'caller-gone'};
       const decision = routeAttempt(this.context, this.job, this.triedVmIds);
       if (decision.kind === 'refuse') {
-        this.noteMiss(decision.code);
-        return this.fail(routeRefusal(decision));
+        this.countMiss(decision.code);
+        return this.fail(routeRefusalError(decision));
       }
       const agent = this.context.view.agent(decision.vmId)!;
       this.triedVmIds.push(agent.vmId);
-      const result = await this.attemptAt(agent);
+      const result = await this.attemptOn(agent);
       if (result.kind === 'done') return result.result;
-      if (!(await this.mayRetry())) return this.fail(undefined);
+      if (!(await this.prepareRetry())) return this.fail(undefined);
     }
   }
 
-  private async attemptAt(agent: AgentState): Promise<AttemptResult> {
+  private async attemptOn(agent: AgentState): Promise<AttemptResult> {
     const {context, job} = this;
-    const seal = {agent, attemptId: uuidV4(), incarnation: agent.incarnation};
-    const result = await runAttempt({context, job, ...seal});
-    this.logEnd(seal, result);
+    const target = {agent, attemptId: uuidV4(), incarnation: agent.incarnation};
+    const result = await runAttempt({context, job, ...target});
+    this.logAttempt(target, result);
     if (result.kind === 'refused') {
-      this.proof.note(result.refusal.outcome === 'not-run');
-      this.last = result;
+      this.outcomes.record(result.refusal.outcome === 'not-run');
+      this.lastFailure = result;
     } else if (result.kind === 'failed') {
-      this.last = result;
-      await this.proveFailed(seal, result.neverSent);
+      this.lastFailure = result;
+      await this.resolveFailedAttempt(target, result.neverSent);
     } else {
-      this.stopAbandoned(seal, result.result);
+      this.stopAbandoned(target, result.result);
     }
     return result;
   }
 
   /**
-   * A failed attempt may be running, or still on its way. The seal stops it
-   * and tells which. One that may not be repeated waits for that before
-   * anything else is tried; for others it is only needed for a refusal.
+   * Determines whether a failed attempt may have started. The attempt may still
+   * be running or on its way to the agent; sealing it stops it and returns its
+   * state. A request that may not be repeated waits for that state before any
+   * retry. Other requests need it only if they fail for good.
    */
-  private async proveFailed(
-    seal: SealTarget,
+  private async resolveFailedAttempt(
+    target: SealTarget,
     neverSent: boolean,
   ): Promise<void> {
     if (neverSent) {
-      this.proof.note(true);
+      this.outcomes.record(true);
       return;
     }
-    this.proof.noteLater(sealAttempt(this.context, seal));
-    if (!this.job.target.selector.repeatable) await this.proof.settle();
+    this.outcomes.recordPending(sealAttempt(this.context, target));
+    if (!this.job.target.selector.repeatable) await this.outcomes.settle();
   }
 
-  /** A stream nobody reads any more must not hold an accelerator. */
-  private stopAbandoned(seal: SealTarget, result: RequestResult): void {
+  /** Stops an attempt whose answer nobody reads, to free its accelerator. */
+  private stopAbandoned(target: SealTarget, result: RequestResult): void {
     if (result.kind === 'caller-gone' || result.kind === 'broken') {
-      void sealAttempt(this.context, seal);
+      void sealAttempt(this.context, target);
     }
   }
 
-  private async mayRetry(): Promise<boolean> {
-    if (isFinalRefusal(this.last)) return false;
+  /** Decides on a retry and waits for its delay; false if there is none. */
+  private async prepareRetry(): Promise<boolean> {
+    if (isFinalRefusal(this.lastFailure)) return false;
     const {context, job} = this;
     const decision = this.decideRetry();
     context.logger.info('retry', {
@@ -120,8 +125,8 @@
         {
           attemptsMade: this.triedVmIds.length,
           budgetTokens,
-          firstByteSent: job.out.started,
-          allNeverStarted: this.proof.allNeverStarted,
+          firstByteSent: job.callerStream.started,
+          allNeverStarted: this.outcomes.allNeverStarted,
           repeatable: job.target.selector.repeatable,
           remainingBudgetMs: job.wholeDeadlineMs - nowMs,
         },
@@ -129,30 +134,34 @@
         DEFAULT_RETRY_OPTIONS,
         random,
       );
-    // A token is taken only for a retry that everything else allows.
+    // Takes a token from the retry budget only if all other checks pass.
     const decision = decide(1);
     if (decision.kind === 'stop') return decision;
     return retryBudget.tryTake() ? decision : decide(0);
   }
 
   private async fail(refusal: ApiError | undefined): Promise<RequestResult> {
-    const outcome = await this.proof.settle();
-    return {kind: 'failed', error: finalError(this.last, refusal, outcome)};
+    const outcome = await this.outcomes.settle();
+    return {
+      kind: 'failed',
+      error: finalError(this.lastFailure, refusal, outcome),
+    };
   }
 
-  private noteMiss(code: string): void {
+  private countMiss(code: string): void {
     if (code === 'no-copy') this.context.misses.add(this.job.target.artifact);
   }
 
-  private logEnd(seal: SealTarget, result: AttemptResult): void {
+  private logAttempt(target: SealTarget, result: AttemptResult): void {
     const {context, job} = this;
-    const ended = result.kind === 'done' ? result.result.kind : result.kind;
-    context.metrics.count('attempts_total', {result: ended});
+    const resultKind =
+      result.kind === 'done' ? result.result.kind : result.kind;
+    context.metrics.count('attempts_total', {result: resultKind});
     context.logger.info('attempt', {
       request: job.requestId,
-      attempt: seal.attemptId,
-      agent: seal.agent.vmId,
-      result: ended,
+      attempt: target.attemptId,
+      agent: target.agent.vmId,
+      result: resultKind,
       reason: reasonOf(result),
     });
   }
@@ -164,7 +173,10 @@
   return result.result.kind === 'broken' ? result.result.reason : undefined;
 }
 
-/** The request itself is at fault; every agent would say the same. */
-function isFinalRefusal(last: LastFailure | undefined): boolean {
-  return last?.kind === 'refused' && isRequestFault(last.refusal);
+/** Whether the request is invalid, so that every agent would refuse it. */
+function isFinalRefusal(lastFailure: LastFailure | undefined): boolean {
+  return (
+    lastFailure?.kind === 'refused' &&
+    isInvalidRequestRefusal(lastFailure.refusal)
+  );
 }
--- a/packages/banyanfold-entry/src/http/callerStream.ts
+++ b/packages/banyanfold-entry/src/http/callerStream.ts
@@ -1,24 +1,24 @@
 import type {ServerResponse} from 'node:http';
 import type {ApiError} from './apiErrors.js';
-import {untilTaken, type StallLimit} from './untilTaken.js';
+import {waitForFlush, type StallLimit} from './waitForFlush.js';
 
-/** The caller's end of a streamed answer. */
+/** Writes a streamed answer to the caller. */
 export class CallerStream {
-  /** Aborted when the caller goes away before its answer is whole. */
+  /** Aborted if the caller disconnects before its answer is complete. */
   readonly signal: AbortSignal;
-  private readonly gone = new AbortController();
+  private readonly disconnect = new AbortController();
 
   constructor(
     private readonly res: ServerResponse,
-    private readonly limit: StallLimit,
+    private readonly stallLimit: StallLimit,
   ) {
-    this.signal = this.gone.signal;
+    this.signal = this.disconnect.signal;
     res.once('close', () => {
-      if (!res.writableFinished) this.gone.abort();
+      if (!res.writableFinished) this.disconnect.abort();
     });
   }
 
-  /** Whether any byte may have reached the caller. */
+  /** Whether the caller may have received any byte. */
   get started(): boolean {
     return this.res.headersSent;
   }
@@ -28,24 +28,24 @@
   }
 
   /**
-   * Writes events in one go, and with the last ones the end; resolves when the
-   * caller takes more.
+   * Writes events in one batch and ends the answer after the last ones.
+   * Resolves when the response accepts more data.
    */
-  async write(slices: readonly Buffer[], isLast = false): Promise<void> {
+  async write(events: readonly Buffer[], isLast = false): Promise<void> {
     const {res} = this;
     if (res.destroyed) return;
-    let hasRoom = true;
+    let canWriteMore = true;
     res.cork();
-    for (const slice of slices) hasRoom = res.write(slice);
+    for (const slice of events) canWriteMore = res.write(slice);
     if (isLast) res.end();
     res.uncork();
     if (isLast) return;
-    if (!hasRoom) await untilTaken(res, 'drain', this.limit);
+    if (!canWriteMore) await waitForFlush(res, 'drain', this.stallLimit);
   }
 
   /**
-   * Says that the stream is broken and breaks the connection. A clean end
-   * would make the part look like a whole answer to most clients.
+   * Sends an error event and destroys the connection. Most clients would take a
+   * clean end for the end of a complete answer.
    */
   abort(error: ApiError): void {
     const {res} = this;
--- a/packages/banyanfold-entry/src/http/inference.ts
+++ b/packages/banyanfold-entry/src/http/inference.ts
@@ -3,26 +3,26 @@
 import type {EntryContext, EntryPlugin, NextStep} from '../context.js';
 import {acceptRequest} from '../requests/acceptRequest.js';
 import type {
-  RequestFacts,
+  RequestMetadata,
   RequestJob,
   RequestResult,
 } from '../requests/types.js';
 import {ApiError, writeApiError} from './apiErrors.js';
 import {CallerStream} from './callerStream.js';
 import {readBody} from './readBody.js';
-import {untilTaken, type StallLimit} from './untilTaken.js';
+import {waitForFlush, type StallLimit} from './waitForFlush.js';
 
-const OVERLOADED_RETRY_MS = 1000;
+const OVERLOADED_RETRY_AFTER_MS = 1000;
 
-/** A call that reaches a model or a service. */
+/** A call to a model or a service. */
 export interface InferenceCall {
   req: IncomingMessage;
   res: ServerResponse;
   path: string;
-  readFacts(body: Buffer): RequestFacts;
+  readMetadata(body: Buffer): RequestMetadata;
 }
 
-/** Serves calls that reach a model or a service. */
+/** Handles calls to models and services. */
 export class InferenceHandler {
   constructor(
     private readonly context: EntryContext,
@@ -35,8 +35,8 @@
     lifecycle.requestOpened();
     try {
       if (lifecycle.open > settings.limits.maxOpenRequests) {
-        throw new ApiError('overloaded', 'too many requests are open here', {
-          retryAfterMs: OVERLOADED_RETRY_MS,
+        throw new ApiError('overloaded', 'too many requests in flight', {
+          retryAfterMs: OVERLOADED_RETRY_AFTER_MS,
         });
       }
       await this.serve(call, caller.settings);
@@ -47,24 +47,32 @@
   }
 
   private async serve(
-    {req, res, path, readFacts}: InferenceCall,
+    {req, res, path, readMetadata}: InferenceCall,
     caller: Parameters<typeof acceptRequest>[1]['caller'],
   ): Promise<void> {
     const {context} = this;
     const startedMs = context.clock.nowMs();
-    const out = new CallerStream(res, this.stallLimit());
+    const callerStream = new CallerStream(res, this.stallLimit());
     const body = await readBody(req, context.settings.limits.bodyBytes);
-    const facts = readFacts(body);
-    const options = {req, caller, facts, path, body, out, startedMs};
+    const metadata = readMetadata(body);
+    const options = {
+      req,
+      caller,
+      metadata,
+      path,
+      body,
+      callerStream,
+      startedMs,
+    };
     const job = acceptRequest(context, options);
     const result = await this.run(job);
-    this.logEnd(job, result);
-    await this.answer(res, job, result);
+    this.logResult(job, result);
+    await this.sendAnswer(res, job, result);
     for (const plugin of this.plugins) plugin.requestEnded?.(job, result);
   }
 
   private async run(job: RequestJob): Promise<RequestResult> {
-    this.requireGuard(job);
+    this.requireIdempotencyGuard(job);
     let next: NextStep = () => runRequest(this.context, job);
     for (const plugin of [...this.plugins].reverse()) {
       const inner = next;
@@ -80,14 +88,14 @@
     }
   }
 
-  /** Without its guard a request that may not be repeated isn't run at all. */
-  private requireGuard(job: RequestJob): void {
+  /** Rejects a request that may not be repeated if no plug-in guards it. */
+  private requireIdempotencyGuard(job: RequestJob): void {
     if (job.target.selector.repeatable) return;
     if (this.plugins.some(plugin => plugin.guardsNonRepeatable)) return;
-    throw new ApiError('not_ready', 'this entry runs no idempotency plug-in');
+    throw new ApiError('not_ready', 'no idempotency plug-in is enabled');
   }
 
-  private async answer(
+  private async sendAnswer(
     res: ServerResponse,
     job: RequestJob,
     result: RequestResult,
@@ -95,15 +103,15 @@
     if (result.kind === 'failed') {
       writeApiError(res, result.error);
     } else if (result.kind === 'broken') {
-      const message = `the answer broke off: ${result.reason}`;
+      const message = `the answer was interrupted: ${result.reason}`;
       const options = {outcome: 'unknown'} as const;
-      job.out.abort(new ApiError('outcome_unknown', message, options));
+      job.callerStream.abort(new ApiError('outcome_unknown', message, options));
     } else if (result.kind === 'answer' && !res.destroyed) {
       const {status, headers, body} = result.answer;
       res.writeHead(status, headers);
       res.end(body);
     }
-    await untilTaken(res, 'finish', this.stallLimit());
+    await waitForFlush(res, 'finish', this.stallLimit());
   }
 
   private stallLimit(): StallLimit {
@@ -111,7 +119,7 @@
     return {clock, stallMs: settings.limits.callerStallMs};
   }
 
-  private logEnd(job: RequestJob, result: RequestResult): void {
+  private logResult(job: RequestJob, result: RequestResult): void {
     const {logger, clock} = this.context;
     const error = result.kind === 'failed' ? result.error : undefined;
     logger.info('request', {
--- a/packages/banyanfold-entry/src/http/routes.ts
+++ b/packages/banyanfold-entry/src/http/routes.ts
@@ -1,8 +1,8 @@
 import type {IncomingMessage, RequestListener, ServerResponse} from 'node:http';
 import {PATHS} from '@banyanfold/protocol';
 import type {EntryContext} from '../context.js';
-import {askerOf, requireConfig} from '../requests/acceptRequest.js';
-import {parseCompletion, serviceFacts} from '../requests/parseRequest.js';
+import {identifyCaller, requireConfig} from '../requests/acceptRequest.js';
+import {parseCompletion, serviceMetadata} from '../requests/parseRequest.js';
 import {ApiError, writeApiError} from './apiErrors.js';
 import type {InferenceHandler} from './inference.js';
 import {isReady} from './readiness.js';
@@ -24,7 +24,7 @@
   control: RequestListener;
 }
 
-/** Serves every path of an entry. */
+/** Creates the listener that serves every path of an entry. */
 export function createRequestListener(options: RoutesOptions): RequestListener {
   const {context, control} = options;
   const routes = routeTable(options);
@@ -37,7 +37,7 @@
     }
     const route = routes.get(path) ?? serviceRoute(options, path);
     serveRoute(route, req, res).catch((error: unknown) =>
-      answerThrown(context, path, res, error),
+      handleError(context, path, res, error),
     );
   };
 }
@@ -59,7 +59,7 @@
               req,
               res,
               path,
-              readFacts: parseCompletion,
+              readMetadata: parseCompletion,
             }),
         },
       ],
@@ -73,7 +73,7 @@
 ): Route | undefined {
   if (!path.startsWith(SERVICES_PREFIX)) return undefined;
   const service = path.slice(SERVICES_PREFIX.length).split('/', 1)[0]!;
-  if (service === '' || path.split('/').some(isDots)) return undefined;
+  if (service === '' || path.split('/').some(isDotSegment)) return undefined;
   return {
     method: 'POST',
     handle: (req, res) =>
@@ -81,13 +81,13 @@
         req,
         res,
         path: req.url!.slice(1),
-        readFacts: () => serviceFacts(service),
+        readMetadata: () => serviceMetadata(service),
       }),
   };
 }
 
-/** `/services/a/../b` would leave the path that the service is offered at. */
-function isDots(segment: string): boolean {
+/** Rejected because `/services/a/../b` would leave the path of the service. */
+function isDotSegment(segment: string): boolean {
   return /^(\.|%2e){1,2}$/i.test(segment);
 }
 
@@ -96,7 +96,7 @@
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
-  if (!route) throw new ApiError('not_found', 'there is no such path');
+  if (!route) throw new ApiError('not_found', 'unknown path');
   if (req.method !== route.method) {
     throw new ApiError('method_not_allowed', `use ${route.method}`);
   }
@@ -117,7 +117,9 @@
 function models(context: EntryContext): Handler {
   return async (req, res) => {
     const caller = context.callers.authenticate(req);
-    const names = requireConfig(context).visibleNames(askerOf(req, caller));
+    const names = requireConfig(context).visibleNames(
+      identifyCaller(req, caller),
+    );
     const data = names.map(id => ({
       id,
       object: 'model',
@@ -142,7 +144,7 @@
   res.end(body);
 }
 
-function answerThrown(
+function handleError(
   context: EntryContext,
   path: string,
   res: ServerResponse,
@@ -152,7 +154,7 @@
     const {code, outcome} = error;
     context.metrics.count('refusals_total', {code});
     context.logger.info('refused', {path, code, outcome});
-    // The rest of a body that is too large would be read as a next request.
+    // The unread rest of the body would be parsed as the next request.
     if (error.code === 'body_too_large') res.setHeader('connection', 'close');
     writeApiError(res, error);
     return;
@@ -162,7 +164,7 @@
     peer: 'caller',
     error: error instanceof Error ? (error.stack ?? error.message) : 'unknown',
   });
-  const message = 'an internal error; see the log';
+  const message = 'internal error; see the log of this entry';
   writeApiError(res, new ApiError('internal', message, {outcome: 'unknown'}));
   if (!res.writableEnded) res.destroy();
 }
--- a/packages/banyanfold-entry/src/requests/acceptRequest.ts
+++ b/packages/banyanfold-entry/src/requests/acceptRequest.ts
@@ -7,53 +7,60 @@
 import type {CallerStream} from '../http/callerStream.js';
 import type {CallerSettings} from '../settings.js';
 import {prefixHashOf} from './parseRequest.js';
-import type {RequestFacts, RequestJob} from './types.js';
+import type {RequestMetadata, RequestJob} from './types.js';
 
-const RETRY_WHEN_READY_MS = 1000;
+const NOT_READY_RETRY_AFTER_MS = 1000;
 
-const RESOLVE_ERRORS: Record<string, ApiErrorCode> = {
+const RESOLVE_ERROR_CODES: Record<string, ApiErrorCode> = {
   forbidden: 'not_allowed',
   'unknown-name': 'model_not_found',
   'no-selector': 'model_not_found',
 };
 
-/** Who asks, as selectors see it. */
-export interface Asker {
+/** The attributes of a caller that selectors match. */
+export interface CallerIdentity {
   caller: string;
   desk: string;
   headers: Record<string, string>;
 }
 
-/** What a job is made from. */
+/** The input of `acceptRequest`. */
 export interface AcceptOptions {
   req: IncomingMessage;
   caller: CallerSettings;
-  facts: RequestFacts;
+  metadata: RequestMetadata;
   path: string;
   body: Buffer;
-  out: CallerStream;
+  callerStream: CallerStream;
   startedMs: number;
 }
 
-/** The configuration in force, or a refusal while none is known. */
+/**
+ * Returns the configuration in force.
+ *
+ * @throws ApiError `not_ready` while none is known.
+ */
 export function requireConfig(context: EntryContext): CompiledConfig {
   const {configWatch} = context;
   if (configWatch.current && configWatch.ready) return configWatch.current;
-  throw new ApiError('not_ready', 'no configuration is known here yet', {
-    retryAfterMs: RETRY_WHEN_READY_MS,
+  throw new ApiError('not_ready', 'this entry has no configuration yet', {
+    retryAfterMs: NOT_READY_RETRY_AFTER_MS,
   });
 }
 
 /**
- * The caller and desk of a call, and its headers without the key.
+ * Returns the caller and desk of a call, and its headers without the key.
  *
- * A desk decides selectors and priority, so a caller may only name one that
- * its settings give it; otherwise any key would reach the counter's models at
- * the counter's priority.
+ * The desk determines selectors and priority, so a caller may name only a desk
+ * that its settings list. Otherwise any key could use another desk's models at
+ * that desk's priority.
  *
- * @throws ApiError `not_allowed` for another desk.
+ * @throws ApiError `not_allowed` for any other desk.
  */
-export function askerOf(req: IncomingMessage, caller: CallerSettings): Asker {
+export function identifyCaller(
+  req: IncomingMessage,
+  caller: CallerSettings,
+): CallerIdentity {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(req.headers)) {
     if (name !== 'authorization' && typeof value === 'string') {
@@ -64,15 +71,15 @@
   if (desk !== caller.desk && !caller.otherDesks.includes(desk)) {
     throw new ApiError(
       'not_allowed',
-      `the key may not ask for the desk "${desk}"; its settings list those ` +
-        'it may name',
+      `the key may not use the desk "${desk}"; use one that its settings ` +
+        'list',
     );
   }
   return {caller: caller.name, desk, headers};
 }
 
 /**
- * Resolves a request and fixes its deadlines.
+ * Resolves a request to its target and sets its deadlines.
  *
  * @throws ApiError `not_ready`, `not_allowed` or `model_not_found`.
  */
@@ -80,46 +87,46 @@
   context: EntryContext,
   options: AcceptOptions,
 ): RequestJob {
-  const {req, caller, facts, path, body, out, startedMs} = options;
-  const asker = askerOf(req, caller);
-  const target = resolveTarget(requireConfig(context), asker, facts);
+  const {req, caller, metadata, path, body, callerStream, startedMs} = options;
+  const identity = identifyCaller(req, caller);
+  const target = resolveTarget(requireConfig(context), identity, metadata);
   const {targets, repeatable} = target.selector;
   return {
     requestId: uuidV4(),
-    caller: asker.caller,
-    desk: asker.desk,
+    caller: identity.caller,
+    desk: identity.desk,
     target,
-    facts,
-    prefixHash: prefixHashOf(target.artifact, facts.prefixText),
+    metadata,
+    prefixHash: prefixHashOf(target.artifact, metadata.prefixText),
     path,
     contentType: req.headers['content-type'] ?? 'application/json',
     body,
-    idempotencyKey: asker.headers[HEADERS.idempotencyKey],
+    idempotencyKey: identity.headers[HEADERS.idempotencyKey],
     startedMs,
     firstTokenDeadlineMs: startedMs + targets.firstTokenMs,
     wholeDeadlineMs: startedMs + targets.wholeAnswerMs,
-    out,
-    signal: repeatable ? out.signal : new AbortController().signal,
+    callerStream,
+    signal: repeatable ? callerStream.signal : new AbortController().signal,
     attempts: 0,
   };
 }
 
 function resolveTarget(
   config: CompiledConfig,
-  asker: Asker,
-  {requestedName, isService}: RequestFacts,
+  identity: CallerIdentity,
+  {requestedName, isService}: RequestMetadata,
 ): ResolvedTarget {
-  const resolved = config.resolve({...asker, requestedName});
+  const resolved = config.resolve({...identity, requestedName});
   if (resolved.isErr()) {
     const {code, message} = resolved.error;
-    throw new ApiError(RESOLVE_ERRORS[code] ?? 'internal', message);
+    throw new ApiError(RESOLVE_ERROR_CODES[code] ?? 'internal', message);
   }
   const target = resolved.value;
   if ((target.kind === 'service') !== isService) {
     const wanted = isService ? 'service' : 'model';
     throw new ApiError(
       'model_not_found',
-      `"${requestedName}" is a ${target.kind} and no ${wanted}`,
+      `"${requestedName}" is a ${target.kind}, not a ${wanted}`,
     );
   }
   return target;
--- a/packages/banyanfold-entry/src/requests/parseRequest.ts
+++ b/packages/banyanfold-entry/src/requests/parseRequest.ts
@@ -2,7 +2,7 @@
 import {z} from 'zod';
 import {ApiError} from '../http/apiErrors.js';
 import {promptPrefix} from './promptPrefix.js';
-import type {RequestFacts} from './types.js';
+import type {RequestMetadata} from './types.js';
 
 const CHARACTERS_PER_TOKEN = 4;
 const DEFAULT_MAX_TOKENS = 512;
@@ -20,11 +20,12 @@
 });
 
 /**
- * Reads what routing needs of a completion request; the engine judges the rest.
+ * Parses the fields of a completion request that routing needs. The engine
+ * validates the rest.
  *
- * @throws ApiError `invalid_request`, naming the field.
+ * @throws ApiError `invalid_request` with the path of the invalid field.
  */
-export function parseCompletion(body: Buffer): RequestFacts {
+export function parseCompletion(body: Buffer): RequestMetadata {
   const checked = completionSchema.safeParse(parseJson(body));
   if (!checked.success) {
     const {path, message} = checked.error.issues[0]!;
@@ -42,8 +43,8 @@
   };
 }
 
-/** A plain service's request is passed on unread. */
-export function serviceFacts(service: string): RequestFacts {
+/** The metadata of a service call, whose body is forwarded without parsing. */
+export function serviceMetadata(service: string): RequestMetadata {
   return {
     isService: true,
     requestedName: service,
@@ -55,8 +56,9 @@
 }
 
 /**
- * The hash under which agents report a cached prefix. It has the artifact in
- * it: the same text in the cache of another model is of no use.
+ * The hash under which agents report a cached prefix, or '' without a prefix.
+ * It includes the artifact, because cached prefixes can't be shared between
+ * models.
  */
 export function prefixHashOf(artifact: string, prefixText: string): string {
   if (prefixText === '') return '';
--- a/packages/banyanfold-entry/src/routing/routeAttempt.ts
+++ b/packages/banyanfold-entry/src/routing/routeAttempt.ts
@@ -9,10 +9,10 @@
 import type {EntryContext} from '../context.js';
 import type {RequestJob} from '../requests/types.js';
 
-/** A log line stays readable with many runners. */
-const REASONS_LOGGED = 8;
+/** Keeps log lines readable with many runners. */
+const MAX_LOGGED_REASONS = 8;
 
-/** Decides where the next attempt of a request goes, and logs why. */
+/** Chooses the agent for the next attempt of a request and logs the reasons. */
 export function routeAttempt(
   context: EntryContext,
   job: RequestJob,
@@ -25,8 +25,8 @@
     decideRoute(routingView, request, nowMs, DEFAULT_ROUTE_OPTIONS, random);
   const routingView = view.routingView();
   let decision = decide(routingView);
-  // Ejection is about choosing better runners. When the ejected ones are all
-  // that hold the artifact, a slow answer is better than none.
+  // Ejection prefers better runners. If only ejected runners hold the artifact,
+  // a slow answer is better than none.
   if (decision.kind === 'refuse' && hasEjected(decision.reasons)) {
     decision = decide(withoutEjections(routingView));
   }
@@ -39,25 +39,26 @@
   triedVmIds: readonly string[],
   nowMs: number,
 ): RoutingRequest {
-  const {target, facts} = job;
+  const {target, metadata} = job;
   return {
     artifact: target.artifact,
-    // A service has no model; it is held where it is offered.
+    // A service has no model; the runners that offer it hold its own artifact.
     modelArtifact: target.modelArtifact || target.artifact,
     priority: target.selector.priority,
     runnerRole: target.selector.runnerRole ?? '',
     prefixHash: job.prefixHash,
-    promptTokens: facts.promptTokens,
-    maxTokens: facts.maxTokens,
+    promptTokens: metadata.promptTokens,
+    maxTokens: metadata.maxTokens,
     firstTokenBudgetMs: waitBudgetMs(job, nowMs),
     triedVmIds,
   };
 }
 
 /**
- * How long a request may wait for its turn at a server. The answer of a service
- * has no first token: judged by that target, a call was refused after a slow
- * first attempt although another server was idle.
+ * How long a request may wait in the queue of a server. A service call has no
+ * first token, so its deadline is that of the whole answer. With the
+ * first-token deadline, a call was refused after a slow first attempt although
+ * another server was idle.
  */
 function waitBudgetMs(job: RequestJob, nowMs: number): number {
   const isService = job.target.kind === 'service';
@@ -78,7 +79,7 @@
   context: EntryContext,
   job: RequestJob,
   decision: RoutingDecision,
-  tried: number,
+  triedCount: number,
 ): void {
   const isRoute = decision.kind === 'route';
   context.metrics.count('route_decisions_total', {
@@ -90,7 +91,7 @@
     desk: job.desk,
     selector: job.target.selector.name,
     artifact: job.target.artifact,
-    attempt: tried + 1,
+    attempt: triedCount + 1,
     decision: isRoute ? decision.vmId : `refuse:${decision.code}`,
     delayMs: isRoute ? Math.round(decision.estimatedDelayMs) : undefined,
     retryAfterMs: isRoute ? undefined : Math.round(decision.retryAfterMs),
@@ -98,12 +99,18 @@
   });
 }
 
-/** `agent-1:12:chosen-wait,agent-2:-:no-copy`, the best ones first. */
+/**
+ * Renders candidates by ascending score.
+ *
+ * @example `agent-1:12:chosen-wait,agent-2:-:no-copy`
+ */
 export function renderReasons(reasons: readonly CandidateReason[]): string {
   const sorted = [...reasons].sort((a, b) => a.scoreMs - b.scoreMs);
-  const shown = sorted.slice(0, REASONS_LOGGED).map(renderReason);
-  const hidden = sorted.length - shown.length;
-  return hidden > 0 ? `${shown.join(',')},+${hidden}` : shown.join(',');
+  const shown = sorted.slice(0, MAX_LOGGED_REASONS).map(renderReason);
+  const omittedCount = sorted.length - shown.length;
+  return omittedCount > 0
+    ? `${shown.join(',')},+${omittedCount}`
+    : shown.join(',');
 }
 
 function renderReason({vmId, scoreMs, reason}: CandidateReason): string {
