--- a/packages/banyanfold-agent/src/engine/fenceKeeper.ts
+++ b/packages/banyanfold-agent/src/engine/fenceKeeper.ts
@@ -1,5 +1,5 @@
 import {sleep, type Clock, type Logger} from '@banyanfold/core';
-import {acquireFence, Backoff, type LogService} from '@banyanfold/log';
+import {acquireFencingToken, Backoff, type LogService} from '@banyanfold/log';
 import {v4 as uuidV4} from 'uuid';
 
 const RETRY_CAP_MS = 5_000;
@@ -61,7 +61,7 @@
   /** Tries once; a lost answer leaves at worst a number that nobody uses. */
   async tryAcquire(): Promise<boolean> {
     const {log, vmId, logger} = this.options;
-    const acquired = await acquireFence({log, vmId, nonce: uuidV4()});
+    const acquired = await acquireFencingToken({log, vmId, nonce: uuidV4()});
     if (acquired.isErr()) {
       const {code, step, peer} = acquired.error;
       logger.warn('fence-failed', {code, step, peer});
--- a/packages/banyanfold-entry/src/attempts/runRequest.ts
+++ b/packages/banyanfold-entry/src/attempts/runRequest.ts
@@ -39,7 +39,7 @@
   ) {}
 
   async run(): Promise<RequestResult> {
-    this.context.retryBudget.noteAttempt();
+    this.context.retryBudget.recordAttempt();
     for (;;) {
       if (this.job.signal.aborted) return {kind: 'caller-gone'};
       const decision = routeAttempt(this.context, this.job, this.triedVmIds);
--- a/packages/banyanfold-entry/src/plugins/idempotency.ts
+++ b/packages/banyanfold-entry/src/plugins/idempotency.ts
@@ -1,5 +1,5 @@
 import type {BanyanfoldError} from '@banyanfold/core';
-import {KeyClaims, readTimedKey, type ClaimOutcome} from '@banyanfold/log';
+import {KeyClaims, parseTimedKey, type ClaimOutcome} from '@banyanfold/log';
 import {v4 as uuidV4} from 'uuid';
 import {
   entryPlugins,
@@ -59,7 +59,7 @@
   }
 
   async run(job: RequestJob, next: NextStep): Promise<RequestResult> {
-    const key = readTimedKey(job.idempotencyKey ?? '')?.key;
+    const key = parseTimedKey(job.idempotencyKey ?? '')?.key;
     if (key === undefined) {
       throw new ApiError(
         'invalid_idempotency_key',
@@ -129,7 +129,7 @@
 
   /** No run takes longer, from its key's making to its record in the log. */
   private mayStillRun(job: RequestJob, key: string): boolean {
-    const keyMs = readTimedKey(key)?.keyMs ?? 0;
+    const keyMs = parseTimedKey(key)?.keyMs ?? 0;
     const {wholeAnswerMs} = job.target.selector.targets;
     return this.context.clock.wallMs() - keyMs < 2 * wholeAnswerMs;
   }
--- a/packages/banyanfold-gateway/src/requests/requestRun.ts
+++ b/packages/banyanfold-gateway/src/requests/requestRun.ts
@@ -182,7 +182,7 @@
       context.demand.noteArrival({model, adapter, urgency, ...tokens});
       context.coming.note(model, this.started.work.read);
     }
-    context.retryBudgetOf(this.service).noteAttempt();
+    context.retryBudgetOf(this.service).recordAttempt();
     if (this.refusals.isTooLate) return this.refuse('leaving');
     const leftMs = this.deadlineMs - context.clock.nowMs();
     this.timer = context.clock.setTimer(leftMs, () => this.onDeadline());
--- a/packages/banyanfold-log/src/__tests__/appendOnce.test.ts
+++ b/packages/banyanfold-log/src/__tests__/appendOnce.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {acquireFence} from '../acquireFence.js';
+import {acquireFencingToken} from '../acquireFencingToken.js';
 import {appendOnce} from '../appendOnce.js';
 import {claimPlanner, PlannerFold} from '../plannerFold.js';
 import {FakeLog, type AppendFault} from './fakeLog.js';
@@ -7,7 +7,7 @@
 
 interface FaultCase {
   fault: AppendFault | undefined;
-  notSeenCode?: 'append-unknown';
+  notFoundCode?: 'append-unknown';
   outcome: number | string;
   inLog: number;
 }
@@ -20,7 +20,7 @@
   {fault: 'late', outcome: 'log-unavailable', inLog: 1},
   {
     fault: 'late',
-    notSeenCode: 'append-unknown',
+    notFoundCode: 'append-unknown',
     outcome: 'append-unknown',
     inLog: 1,
   },
@@ -41,8 +41,8 @@
     log.push('claims', {nonce: 'x'}, 'junk');
     log.faults.push(testCase.fault);
     const value = {nonce: 'mine'};
-    const {notSeenCode} = testCase;
-    const options = {log, stream: 'claims', value, notSeenCode} as const;
+    const {notFoundCode} = testCase;
+    const options = {log, stream: 'claims', value, notFoundCode} as const;
     const appending = appendOnce(options);
     const result = await settle(clock, appending);
     await clock.advance(1_000);
@@ -76,13 +76,13 @@
   });
 });
 
-describe('acquireFence', () => {
+describe('acquireFencingToken', () => {
   it('gives rising numbers, also after a lost answer', async () => {
     const {clock} = createBasics();
     const log = new FakeLog(clock);
     log.faults.push(undefined, 'lost-after');
-    const first = await acquireFence({log, vmId: 'a', nonce: '1'});
-    const second = await acquireFence({log, vmId: 'a', nonce: '2'});
+    const first = await acquireFencingToken({log, vmId: 'a', nonce: '1'});
+    const second = await acquireFencingToken({log, vmId: 'a', nonce: '2'});
     expect([first._unsafeUnwrap(), second._unsafeUnwrap()]).toEqual([1, 2]);
   });
 });
--- a/packages/banyanfold-log/src/__tests__/fakeLog.ts
+++ b/packages/banyanfold-log/src/__tests__/fakeLog.ts
@@ -1,7 +1,7 @@
 import {BanyanfoldError, sleep, type VirtualClock} from '@banyanfold/core';
 import {err, ok, ResultAsync, type Result} from 'neverthrow';
 import type {
-  AppendAnswer,
+  AppendResponse,
   LogPage,
   LogRecord,
   LogService,
@@ -59,7 +59,7 @@
   }
 
   /** Puts records in without a call. */
-  push(stream: StreamName, ...values: unknown[]): AppendAnswer {
+  push(stream: StreamName, ...values: unknown[]): AppendResponse {
     const target = this.streamOf(stream);
     const firstOffset = target.nextOffset;
     const appendedAtMs = this.clock.wallMs();
@@ -77,7 +77,7 @@
     fault: AppendFault | undefined,
     stream: StreamName,
     values: unknown[],
-  ): Promise<Result<AppendAnswer, BanyanfoldError>> {
+  ): Promise<Result<AppendResponse, BanyanfoldError>> {
     await this.delay();
     if (this.isOut || fault === 'refused') return fail('log-unavailable');
     if (fault?.endsWith('-outage')) this.isOut = true;
--- a/packages/banyanfold-log/src/__tests__/retry.test.ts
+++ b/packages/banyanfold-log/src/__tests__/retry.test.ts
@@ -23,7 +23,7 @@
     const budget = new RetryBudget({clock, ...rates});
     const take = () => budget.tryTake();
     const seen = [take(), take(), take()];
-    for (let attempt = 0; attempt < 2; attempt++) budget.noteAttempt();
+    for (let attempt = 0; attempt < 2; attempt++) budget.recordAttempt();
     seen.push(take(), take());
     await clock.advance(60_000);
     seen.push(take(), take(), take());
--- a/packages/banyanfold-log/src/__tests__/streamFollower.test.ts
+++ b/packages/banyanfold-log/src/__tests__/streamFollower.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {BatchAppender} from '../batchAppender.js';
-import {StreamFollower, type FollowedPage} from '../streamFollower.js';
+import {StreamFollower, type DeliveredPage} from '../streamFollower.js';
 import {FakeLog, PausableLog} from './fakeLog.js';
 import {createBasics, settle} from './testKit.js';
 
@@ -11,7 +11,7 @@
   const log = new FakeLog(basics.clock, RETENTION_MS);
   const gate = new PausableLog(log);
   const seen: string[] = [];
-  const onPage = ({records, gap}: FollowedPage) => {
+  const onPage = ({records, gap}: DeliveredPage) => {
     if (gap) seen.push(`gap ${gap.fromOffset}-${gap.toOffset}`);
     for (const {offset} of records) seen.push(String(offset));
   };
@@ -133,7 +133,7 @@
 
   it('refuses at once when too many wait', async () => {
     const {clock, log} = createWorld();
-    const options = {log, clock, stream: 'claims', maxWaiting: 1} as const;
+    const options = {log, clock, stream: 'claims', maxPending: 1} as const;
     const appender = new BatchAppender(options);
     void appender.append('a');
     const result = await appender.append('b');
--- a/packages/banyanfold-log/src/acquireFence.ts
+++ b/packages/banyanfold-log/src/acquireFencingToken.ts
@@ -3,7 +3,7 @@
 import {appendOnce} from './appendOnce.js';
 import {STREAMS, type LogService} from './types.js';
 
-export interface FenceOptions {
+export interface FencingTokenOptions {
   log: LogService;
   vmId: string;
   /** A new one for each try, for example a random UUID. */
@@ -17,13 +17,13 @@
  * after its answer was given up is a number nobody uses.
  *
  * @example
- * const fencing = await acquireFence({log, vmId, nonce: randomUUID()});
+ * const fencing = await acquireFencingToken({log, vmId, nonce: randomUUID()});
  */
-export function acquireFence({
+export function acquireFencingToken({
   log,
   vmId,
   nonce,
-}: FenceOptions): ResultAsync<number, BanyanfoldError> {
+}: FencingTokenOptions): ResultAsync<number, BanyanfoldError> {
   const value = {kind: 'fence', vmId, nonce};
   return appendOnce({log, stream: STREAMS.fences, value});
 }
--- a/packages/banyanfold-log/src/appendOnce.ts
+++ b/packages/banyanfold-log/src/appendOnce.ts
@@ -21,7 +21,7 @@
    * `log-unavailable`, the default, is for those who cope with a record that
    * arrives after the search, as a delayed packet can.
    */
-  notSeenCode?: 'log-unavailable' | 'append-unknown';
+  notFoundCode?: 'log-unavailable' | 'append-unknown';
 }
 
 const SEARCH_PAGE_LIMIT = 500;
@@ -54,13 +54,13 @@
   options: AppendOnceOptions,
   lost: BanyanfoldError,
 ): ResultAsync<number, BanyanfoldError> {
-  const {notSeenCode = 'log-unavailable'} = options;
+  const {notFoundCode = 'log-unavailable'} = options;
   return findNonce(options).andThen(offset => {
     if (offset !== undefined) return okAsync(offset);
     const message = `${lost.message}; the record is not in the log`;
     const {step, peer} = lost;
     return errAsync(
-      new BanyanfoldError(notSeenCode, message, {step, peer}, {cause: lost}),
+      new BanyanfoldError(notFoundCode, message, {step, peer}, {cause: lost}),
     );
   });
 }
--- a/packages/banyanfold-log/src/batchAppender.ts
+++ b/packages/banyanfold-log/src/batchAppender.ts
@@ -1,22 +1,22 @@
 import {BanyanfoldError, type Clock} from '@banyanfold/core';
 import {err, ok, ResultAsync, type Result} from 'neverthrow';
-import type {AppendAnswer, LogService, StreamName} from './types.js';
+import type {AppendResponse, LogService, StreamName} from './types.js';
 
 export interface BatchAppenderOptions {
   log: LogService;
   stream: StreamName;
   clock: Clock;
   /** How long the first value waits for others. */
-  collectMs?: number;
+  lingerMs?: number;
   maxBatchSize?: number;
   /** Values beyond this are refused at once. */
-  maxWaiting?: number;
+  maxPending?: number;
 }
 
 export const DEFAULT_BATCH_OPTIONS = {
-  collectMs: 4,
+  lingerMs: 4,
   maxBatchSize: 200,
-  maxWaiting: 2_000,
+  maxPending: 2_000,
 } as const;
 
 type Settle = (result: Result<number, BanyanfoldError>) => void;
@@ -46,7 +46,7 @@
 
   /** @returns the value's own offset, or `log-unavailable`, `append-unknown`. */
   append(value: unknown): ResultAsync<number, BanyanfoldError> {
-    if (this.waiting.length >= this.options.maxWaiting) {
+    if (this.waiting.length >= this.options.maxPending) {
       const full = this.fail('log-unavailable', 'too many appends wait');
       return new ResultAsync(Promise.resolve(err(full)));
     }
@@ -60,8 +60,8 @@
   private schedule(): void {
     if (this.isScheduled) return;
     this.isScheduled = true;
-    const {clock, collectMs} = this.options;
-    clock.setTimer(collectMs, () => void this.flush());
+    const {clock, lingerMs} = this.options;
+    clock.setTimer(lingerMs, () => void this.flush());
   }
 
   private async flush(): Promise<void> {
@@ -76,7 +76,7 @@
 
   private settleAll(
     batch: Waiting[],
-    answer: Result<AppendAnswer, BanyanfoldError>,
+    answer: Result<AppendResponse, BanyanfoldError>,
   ): void {
     batch.forEach(({settle}, index) => {
       settle(
@@ -86,7 +86,7 @@
   }
 
   private offsetAt(
-    {firstOffset, lastOffset}: AppendAnswer,
+    {firstOffset, lastOffset}: AppendResponse,
     index: number,
     size: number,
   ): Result<number, BanyanfoldError> {
--- a/packages/banyanfold-log/src/claimsFold.ts
+++ b/packages/banyanfold-log/src/claimsFold.ts
@@ -11,7 +11,7 @@
   type ClaimWindow,
   type WindowRefusal,
 } from './claimWindow.js';
-import {readTimedKey} from './keyTime.js';
+import {parseTimedKey} from './keyTime.js';
 import {KeyExpiry} from './keyExpiry.js';
 import type {LogRecord} from './types.js';
 
@@ -29,7 +29,7 @@
   | {kind: 'refused'; code: 'key-not-uuidv7' | WindowRefusal};
 
 /** A claim record and the verdict on it. */
-export interface JudgedClaim {
+export interface EvaluatedClaim {
   claim: ClaimRecord;
   offset: number;
   verdict: ClaimVerdict;
@@ -63,7 +63,7 @@
     [K in ClaimsRecord['kind']]: (
       record: Extract<ClaimsRecord, {kind: K}>,
       at: LogRecord,
-    ) => JudgedClaim | undefined;
+    ) => EvaluatedClaim | undefined;
   } = {
     claim: (claim, at) => this.judge(claim, at),
     finished: record => this.noteFinished(record),
@@ -76,17 +76,17 @@
   }
 
   /** Takes in the next record; the verdict when it was a claim. */
-  apply(record: LogRecord): JudgedClaim | undefined {
+  apply(record: LogRecord): EvaluatedClaim | undefined {
     const parsed = claimsRecordSchema.safeParse(record.value);
     if (!parsed.success) return undefined;
     const handler = this.handlers[parsed.data.kind] as (
       value: ClaimsRecord,
       at: LogRecord,
-    ) => JudgedClaim | undefined;
+    ) => EvaluatedClaim | undefined;
     return handler(parsed.data, record);
   }
 
-  /** What is known of a key, in the spelling of `readTimedKey`. */
+  /** What is known of a key, in the spelling of `parseTimedKey`. */
   stateOf(key: string): KeyState | undefined {
     return this.keys.get(key);
   }
@@ -103,10 +103,12 @@
     }
   }
 
-  private judge(claim: ClaimRecord, at: LogRecord): JudgedClaim {
+  private judge(claim: ClaimRecord, at: LogRecord): EvaluatedClaim {
     const {offset, appendedAtMs} = at;
-    const timed = readTimedKey(claim.key);
-    const refused = (code: 'key-not-uuidv7' | WindowRefusal): JudgedClaim => ({
+    const timed = parseTimedKey(claim.key);
+    const refused = (
+      code: 'key-not-uuidv7' | WindowRefusal,
+    ): EvaluatedClaim => ({
       claim,
       offset,
       verdict: {kind: 'refused', code},
@@ -127,7 +129,7 @@
   }
 
   private noteFinished(record: FinishedRecord): undefined {
-    const timed = readTimedKey(record.key);
+    const timed = parseTimedKey(record.key);
     if (!timed) return;
     const known = this.keys.get(timed.key);
     if (known?.finished) return;
@@ -141,7 +143,7 @@
   }
 
   private noteReleased({key, claimOffset}: ReleasedRecord): undefined {
-    const known = this.keys.get(readTimedKey(key)?.key ?? '');
+    const known = this.keys.get(parseTimedKey(key)?.key ?? '');
     // A release sent twice must not free the key of the next owner.
     if (known?.claimOffset !== claimOffset || known.finished) return;
     known.isReleased = true;
--- a/packages/banyanfold-log/src/configFollower.ts
+++ b/packages/banyanfold-log/src/configFollower.ts
@@ -16,7 +16,7 @@
 import {v4 as uuidV4} from 'uuid';
 import {appendOnce} from './appendOnce.js';
 import {Checkpointer} from './checkpointer.js';
-import {StreamFollower, type FollowedPage} from './streamFollower.js';
+import {StreamFollower, type DeliveredPage} from './streamFollower.js';
 import {STREAMS, type LogService} from './types.js';
 
 export interface ConfigFollowerOptions {
@@ -173,7 +173,7 @@
       stream: STREAMS.config,
       value,
       fromOffset: this.follower.position,
-      notSeenCode: 'append-unknown',
+      notFoundCode: 'append-unknown',
     });
     if (offset.isErr()) return err(offset.error);
     const read = await this.follower.readThrough(offset.value);
@@ -185,7 +185,7 @@
     return err(new BanyanfoldError('append-unknown', message, PUBLISH_PLACE));
   }
 
-  private applyPage(page: FollowedPage): void {
+  private applyPage(page: DeliveredPage): void {
     this.fold.noteFirstOffset(page.firstOffset);
     for (const record of page.records) {
       this.fold.apply(record);
--- a/packages/banyanfold-log/src/createLogService.ts
+++ b/packages/banyanfold-log/src/createLogService.ts
@@ -2,7 +2,7 @@
 import type {Dispatcher} from 'undici';
 import {callJson} from './httpJson.js';
 import {
-  appendAnswerSchema,
+  appendResponseSchema,
   logPageSchema,
   type LogService,
   type StreamName,
@@ -41,7 +41,7 @@
         method: 'POST',
         url: recordsUrl(stream),
         body: {records: values},
-        schema: appendAnswerSchema,
+        schema: appendResponseSchema,
         place: {step: `append-${stream}`, peer},
         clock,
         timeoutMs,
--- a/packages/banyanfold-log/src/index.ts
+++ b/packages/banyanfold-log/src/index.ts
@@ -1,4 +1,4 @@
-export * from './acquireFence.js';
+export * from './acquireFencingToken.js';
 export * from './appendOnce.js';
 export * from './backoff.js';
 export * from './batchAppender.js';
--- a/packages/banyanfold-log/src/keyClaims.ts
+++ b/packages/banyanfold-log/src/keyClaims.ts
@@ -13,7 +13,7 @@
 import {
   ClaimsFold,
   type ClaimVerdict,
-  type JudgedClaim,
+  type EvaluatedClaim,
   type KeyState,
 } from './claimsFold.js';
 import {
@@ -21,10 +21,10 @@
   type ClaimOutcome,
   type KeyClaimsOptions,
 } from './keyClaimsTypes.js';
-import {readTimedKey, type TimedKey} from './keyTime.js';
+import {parseTimedKey, type TimedKey} from './keyTime.js';
 import {OwnClaims} from './ownClaims.js';
 import {refuseClaim} from './refuseClaim.js';
-import {StreamFollower, type FollowedPage} from './streamFollower.js';
+import {StreamFollower, type DeliveredPage} from './streamFollower.js';
 import {STREAMS} from './types.js';
 import {UnseenRecords} from './unseenRecords.js';
 
@@ -69,10 +69,10 @@
     const {
       owner,
       bodyLimitBytes = DEFAULT_BODY_LIMIT_BYTES,
-      collectMs = DEFAULT_BATCH_OPTIONS.collectMs,
+      lingerMs = DEFAULT_BATCH_OPTIONS.lingerMs,
     } = options;
     this.own = new OwnClaims(this.window);
-    this.appender = new BatchAppender({log, stream, clock, collectMs});
+    this.appender = new BatchAppender({log, stream, clock, lingerMs});
     const {appender} = this;
     this.notes = new ClaimNotes({
       appender,
@@ -137,7 +137,7 @@
   private async claimKey(
     text: string,
   ): Promise<Result<ClaimOutcome, BanyanfoldError>> {
-    const timed = readTimedKey(text);
+    const timed = parseTimedKey(text);
     if (!timed) return refuseClaim('key-not-uuidv7', 'not a UUIDv7');
     if (!this.follower.hasCaughtUp) {
       const read = await this.follower.readNow();
@@ -211,7 +211,7 @@
   private toOutcome(
     key: string,
     keyMs: number,
-    {verdict, offset}: JudgedClaim,
+    {verdict, offset}: EvaluatedClaim,
   ): Result<ClaimOutcome, BanyanfoldError> {
     const handlers: {
       [K in ClaimVerdict['kind']]: (
@@ -245,7 +245,7 @@
     };
   }
 
-  private applyPage(page: FollowedPage): void {
+  private applyPage(page: DeliveredPage): void {
     this.unseen.note(page);
     for (const record of page.records) {
       const judged = this.fold.apply(record);
@@ -255,7 +255,7 @@
     this.own.dropForgotten(page.nowMs);
   }
 
-  private noteJudged(judged: JudgedClaim): void {
+  private noteJudged(judged: EvaluatedClaim): void {
     if (!this.own.noteJudged(judged)) return;
     const {offset, claim} = judged;
     this.options.logger.info('late-claim-released', {claimOffset: offset});
--- a/packages/banyanfold-log/src/keyClaimsTypes.ts
+++ b/packages/banyanfold-log/src/keyClaimsTypes.ts
@@ -14,7 +14,7 @@
   retentionMs: number;
   /** Larger bodies aren't kept; a second caller gets the status alone. */
   bodyLimitBytes?: number;
-  collectMs?: number;
+  lingerMs?: number;
   createNonce?(): string;
 }
 
--- a/packages/banyanfold-log/src/keyTime.ts
+++ b/packages/banyanfold-log/src/keyTime.ts
@@ -15,9 +15,9 @@
  * Reads a UUIDv7; undefined when it is none. Upper case is the same key, so
  * it is folded to lower case: two spellings must not become two runs.
  *
- * @example readTimedKey('0190d9a2-7b00-7000-8000-000000000000')?.keyMs
+ * @example parseTimedKey('0190d9a2-7b00-7000-8000-000000000000')?.keyMs
  */
-export function readTimedKey(text: string): TimedKey | undefined {
+export function parseTimedKey(text: string): TimedKey | undefined {
   if (!validate(text) || version(text) !== UUID_VERSION) return undefined;
   const key = text.toLowerCase();
   const timeHex = key.replaceAll('-', '').slice(0, TIME_HEX_DIGITS);
--- a/packages/banyanfold-log/src/ownClaims.ts
+++ b/packages/banyanfold-log/src/ownClaims.ts
@@ -1,11 +1,11 @@
 import type {ClaimWindow} from './claimWindow.js';
-import type {JudgedClaim} from './claimsFold.js';
+import type {EvaluatedClaim} from './claimsFold.js';
 
 /** A claim that this process made, until its fate is known. */
 interface OwnClaim {
   keyMs: number;
   isAbandoned: boolean;
-  judged?: JudgedClaim;
+  judged?: EvaluatedClaim;
 }
 
 /** The claims of this process by nonce, from their append to their verdict. */
@@ -19,7 +19,7 @@
   }
 
   /** Ends the wait for a verdict, and gives it when there is one. */
-  takeJudged(nonce: string): JudgedClaim | undefined {
+  takeJudged(nonce: string): EvaluatedClaim | undefined {
     const judged = this.claims.get(nonce)?.judged;
     if (judged) this.claims.delete(nonce);
     return judged;
@@ -40,7 +40,7 @@
   }
 
   /** @returns whether the claim owns its key and must be released. */
-  noteJudged(judged: JudgedClaim): boolean {
+  noteJudged(judged: EvaluatedClaim): boolean {
     const claim = this.claims.get(judged.claim.nonce);
     if (!claim) return false;
     claim.judged ??= judged;
--- a/packages/banyanfold-log/src/retirements.ts
+++ b/packages/banyanfold-log/src/retirements.ts
@@ -9,7 +9,7 @@
   type RetirementFoldOptions,
   type RetireVerdict,
 } from './retirementFold.js';
-import {StreamFollower, type FollowedPage} from './streamFollower.js';
+import {StreamFollower, type DeliveredPage} from './streamFollower.js';
 import {STREAMS, type LogService} from './types.js';
 import {UnseenRecords} from './unseenRecords.js';
 
@@ -146,7 +146,7 @@
     return this.unseen.hasSeenSince(viewedAtMs - memoryMs);
   }
 
-  private applyPage(page: FollowedPage): void {
+  private applyPage(page: DeliveredPage): void {
     this.unseen.note(page);
     for (const record of page.records) {
       const judged = this.fold.apply(record);
--- a/packages/banyanfold-log/src/retryBudget.ts
+++ b/packages/banyanfold-log/src/retryBudget.ts
@@ -24,7 +24,7 @@
  *
  * @example
  * const budget = new RetryBudget({clock});
- * budget.noteAttempt();
+ * budget.recordAttempt();
  * if (budget.tryTake()) retry();
  */
 export class RetryBudget {
@@ -41,7 +41,7 @@
   }
 
   /** Called for each first attempt. */
-  noteAttempt(): void {
+  recordAttempt(): void {
     this.refill();
     this.add(this.options.tokensPerAttempt);
   }
--- a/packages/banyanfold-log/src/streamFollower.ts
+++ b/packages/banyanfold-log/src/streamFollower.ts
@@ -16,7 +16,7 @@
 }
 
 /** What is new to the follower, in offset order, each record once. */
-export interface FollowedPage {
+export interface DeliveredPage {
   records: readonly LogRecord[];
   gap: Gap | undefined;
   /** The oldest offset that the log retains. */
@@ -43,7 +43,7 @@
   minPollIntervalMs?: number;
   backoff?: Partial<Omit<BackoffOptions, 'random'>>;
   /** Called for each page that isn't empty, has a gap, or is the first. */
-  onPage(page: FollowedPage): void;
+  onPage(page: DeliveredPage): void;
 }
 
 export const DEFAULT_FOLLOWER_OPTIONS = {
--- a/packages/banyanfold-log/src/types.ts
+++ b/packages/banyanfold-log/src/types.ts
@@ -15,7 +15,7 @@
   records: z.array(logRecordSchema),
 });
 
-export const appendAnswerSchema = z.object({
+export const appendResponseSchema = z.object({
   firstOffset: z.number(),
   lastOffset: z.number(),
   appendedAtMs: z.number(),
@@ -23,7 +23,7 @@
 
 export type LogRecord = z.infer<typeof logRecordSchema>;
 export type LogPage = z.infer<typeof logPageSchema>;
-export type AppendAnswer = z.infer<typeof appendAnswerSchema>;
+export type AppendResponse = z.infer<typeof appendResponseSchema>;
 
 /** Streams of the platform's log that the system uses. */
 export const STREAMS = {
@@ -54,7 +54,7 @@
   append(
     stream: StreamName,
     values: unknown[],
-  ): ResultAsync<AppendAnswer, BanyanfoldError>;
+  ): ResultAsync<AppendResponse, BanyanfoldError>;
   read(
     stream: StreamName,
     options: ReadOptions,
--- a/packages/banyanfold-log/src/unseenRecords.ts
+++ b/packages/banyanfold-log/src/unseenRecords.ts
@@ -1,4 +1,4 @@
-import type {FollowedPage} from './streamFollower.js';
+import type {DeliveredPage} from './streamFollower.js';
 
 /**
  * The latest time at which a record could have been appended that this reader
@@ -12,7 +12,7 @@
   constructor(private readonly retentionMs: number) {}
 
   /** Takes in each page of the stream. */
-  note({gap, records, nowMs}: FollowedPage): void {
+  note({gap, records, nowMs}: DeliveredPage): void {
     if (!gap) return;
     const trimmedMs = nowMs - this.retentionMs;
     const firstSeenMs = records[0]?.appendedAtMs ?? trimmedMs;
