--- a/packages/banyanfold-log/src/__tests__/appendOnce.test.ts
+++ b/packages/banyanfold-log/src/__tests__/appendOnce.test.ts
@@ -3,7 +3,7 @@
 import {appendOnce} from '../appendOnce.js';
 import {claimPlanner, PlannerFold} from '../plannerFold.js';
 import {FakeLog, type AppendFault} from './fakeLog.js';
-import {createBasics, settle} from './testKit.js';
+import {createTestDependencies, settle} from './testKit.js';
 
 interface FaultCase {
   fault: AppendFault | undefined;
@@ -29,14 +29,14 @@
 ];
 
 /*
- * The caller asked for one record. The answer to its append is lost, before
- * or after the log took the record, and the log may go out as well. It must
- * learn the offset if the record is there, never append a second one, and
- * not be told "not appended" while nobody can know.
+ * The response to an append is lost, before or after the log stored the record,
+ * and the log may become unavailable as well. The caller must receive the
+ * offset if the record is in the log, the record must not be appended twice,
+ * and the caller must not receive "not appended" while the outcome is unknown.
  */
 describe('appendOnce', () => {
   it.each(CASES)('$fault, then $outcome', async testCase => {
-    const {clock} = createBasics();
+    const {clock} = createTestDependencies();
     const log = new FakeLog(clock);
     log.push('claims', {nonce: 'x'}, 'junk');
     log.faults.push(testCase.fault);
@@ -49,7 +49,7 @@
     expect(result.match(String, ({code}) => code)).toBe(
       String(testCase.outcome),
     );
-    const mine = log.everything.filter(({value}) =>
+    const mine = log.allRecords.filter(({value}) =>
       JSON.stringify(value).includes('mine'),
     );
     expect(mine).toHaveLength(testCase.inLog);
@@ -62,7 +62,7 @@
     ['lost-after', 1_201],
     ['lost-before', 'log-unavailable'],
   ] as const)('after %s searches every page', async (fault, outcome) => {
-    const {clock} = createBasics();
+    const {clock} = createTestDependencies();
     const log = new FakeLog(clock);
     log.push('claims', ...Array<string>(1_200).fill('junk'));
     log.faults.push(fault);
@@ -77,8 +77,8 @@
 });
 
 describe('acquireFencingToken', () => {
-  it('gives rising numbers, also after a lost answer', async () => {
-    const {clock} = createBasics();
+  it('returns increasing tokens, also after a lost response', async () => {
+    const {clock} = createTestDependencies();
     const log = new FakeLog(clock);
     log.faults.push(undefined, 'lost-after');
     const first = await acquireFencingToken({log, vmId: 'a', nonce: '1'});
@@ -89,13 +89,13 @@
 
 describe('claimPlanner', () => {
   it('makes the last claim the planner, whatever the order of reading', async () => {
-    const {clock} = createBasics();
+    const {clock} = createTestDependencies();
     const log = new FakeLog(clock);
     await claimPlanner({log, vmId: 'a', nonce: '1'});
     log.push('planner', 'junk');
     const epoch = await claimPlanner({log, vmId: 'b', nonce: '2'});
     const fold = new PlannerFold();
-    for (const record of log.everything.toReversed()) fold.apply(record);
+    for (const record of log.allRecords.toReversed()) fold.apply(record);
     expect(fold.state).toEqual({epoch: epoch._unsafeUnwrap(), vmId: 'b'});
   });
 });
--- a/packages/banyanfold-log/src/__tests__/configWorld.ts
+++ b/packages/banyanfold-log/src/__tests__/configCluster.ts
@@ -1,7 +1,7 @@
 import {ConfigFold, publishedConfigSchema} from '@banyanfold/config';
 import {ConfigFollower} from '../configFollower.js';
 import {FakeLog, PausableLog} from './fakeLog.js';
-import {createBasics, createRandom} from './testKit.js';
+import {createTestDependencies, createRandom} from './testKit.js';
 
 export const NODES = 3;
 export const RETENTION_MS = 60_000;
@@ -22,10 +22,12 @@
   return publishedConfigSchema.parse({services: [{name}]});
 }
 
-/** Nodes that follow the configuration, and operators who publish at them. */
-export class ConfigWorld {
-  readonly basics = createBasics();
-  readonly log = new FakeLog(this.basics.clock, RETENTION_MS);
+/**
+ * Nodes that follow the configuration, and the results of publishing at them.
+ */
+export class ConfigCluster {
+  readonly dependencies = createTestDependencies();
+  readonly log = new FakeLog(this.dependencies.clock, RETENTION_MS);
   readonly nodes: ConfigNode[] = [];
   readonly publishes: Publish[] = [];
   arePeersReachable = true;
@@ -35,13 +37,13 @@
     for (let index = 0; index < NODES; index++) this.start(index);
   }
 
-  /** A successor starts with nothing. */
+  /** Starts a node, or replaces it by one without state. */
   start(index: number): void {
     const old = this.nodes[index];
     old?.follower.stop();
     const gate = new PausableLog(this.log);
     const follower = new ConfigFollower({
-      ...this.basics,
+      ...this.dependencies,
       random: createRandom(++this.serial),
       log: gate,
       vmId: `node-${index}`,
@@ -73,29 +75,32 @@
       });
   }
 
-  /** What the whole log, nothing forgotten, says. */
-  truth(): {fold: ConfigFold; versions: number[]} {
+  /** Folds all records, including those that the log has trimmed. */
+  foldWholeLog(): {fold: ConfigFold; versions: number[]} {
     const fold = new ConfigFold();
     const versions = [0];
-    for (const record of this.log.everything) {
+    for (const record of this.log.allRecords) {
       fold.apply(record);
       versions.push(fold.state?.version ?? 0);
     }
     return {fold, versions};
   }
 
-  /** Appends in flight may still begin an outage, so they end first. */
-  async heal(): Promise<void> {
+  /**
+   * Ends all faults. Appends in flight may start an outage, so they finish
+   * first.
+   */
+  async recover(): Promise<void> {
     this.log.delayMs = 0;
     this.log.faults.length = 0;
     this.arePeersReachable = true;
     for (const {gate} of this.nodes) gate.resume();
-    await this.basics.clock.advance(IN_FLIGHT_MS);
+    await this.dependencies.clock.advance(IN_FLIGHT_MS);
     this.log.isOut = false;
   }
 
   private peersOf(index: number): unknown[] {
-    if (!this.arePeersReachable) throw new Error('no peer answers');
+    if (!this.arePeersReachable) throw new Error('no peer is reachable');
     return this.nodes
       .filter((_, other) => other !== index)
       .map(({follower}) => follower.state);
--- a/packages/banyanfold-log/src/__tests__/createLogService.test.ts
+++ b/packages/banyanfold-log/src/__tests__/createLogService.test.ts
@@ -40,38 +40,37 @@
   };
 }
 
-function answer(status: number, body: unknown): RequestListener {
+function respondWith(status: number, body: unknown): RequestListener {
   return (request, response) => {
     request.resume();
     response.writeHead(status).end(JSON.stringify(body));
   };
 }
 
-const breakOff: RequestListener = request => {
+const breakConnection: RequestListener = request => {
   request.on('data', () => request.socket.destroy());
 };
 
-const breakOffAnswer: RequestListener = (request, response) => {
+const breakResponse: RequestListener = (request, response) => {
   request.resume();
   response.writeHead(200, {'content-length': '500'}).write('{"first');
   setImmediate(() => response.destroy());
 };
 
 const FAULTS: Array<[string, RequestListener, string]> = [
-  ['a refusal', answer(503, {}), 'log-unavailable'],
-  ['a bad request', answer(400, {}), 'log-unavailable'],
-  ['a failure inside', answer(500, {}), 'append-unknown'],
-  ['a lost answer of a gateway', answer(504, {}), 'append-unknown'],
-  ['an answer of another shape', answer(200, {ok: 1}), 'append-unknown'],
-  ['a connection broken after the request', breakOff, 'append-unknown'],
-  ['a connection broken in the answer', breakOffAnswer, 'append-unknown'],
+  ['a refusal', respondWith(503, {}), 'log-unavailable'],
+  ['a bad request', respondWith(400, {}), 'log-unavailable'],
+  ['an internal error', respondWith(500, {}), 'append-unknown'],
+  ['a gateway timeout', respondWith(504, {}), 'append-unknown'],
+  ['a response of another shape', respondWith(200, {ok: 1}), 'append-unknown'],
+  ['a connection broken after the request', breakConnection, 'append-unknown'],
+  ['a connection broken in the response', breakResponse, 'append-unknown'],
 ];
 
 /*
- * The record may be in the log whenever the request may have arrived, and
- * then "not run" would be a lie. Only a refusal and a connection that never
- * came about prove that nothing was appended. And no library may send the
- * request a second time on its own.
+ * If the request may have arrived, the record may be in the log, and reporting
+ * "not run" would be wrong. Only a refusal or a failure to connect proves that
+ * nothing was appended. In addition, no library may retry the request.
  */
 describe('createLogService.append', () => {
   it.each(FAULTS)('after %s', async (_name, listener, code) => {
@@ -87,7 +86,7 @@
   });
 
   it('after no connection', async () => {
-    const {port} = await serve(answer(200, APPENDED));
+    const {port} = await serve(respondWith(200, APPENDED));
     for (const cleanup of cleanups.splice(0)) await cleanup();
     const log = createLogService({url: `http://127.0.0.1:${port}`});
     const error = (await log.append('claims', [{}]))._unsafeUnwrapErr();
@@ -106,13 +105,13 @@
     expect((await appending)._unsafeUnwrapErr().code).toBe('append-unknown');
   });
 
-  it('when a kept connection breaks, sends nothing twice', async () => {
+  it('when a reused connection breaks, sends nothing twice', async () => {
     const sockets = new Set<Socket>();
     const {log, count} = await serve((request, response) => {
       const isFirst = !sockets.has(request.socket);
       sockets.add(request.socket);
-      if (isFirst) return answer(200, APPENDED)(request, response);
-      return breakOff(request, response);
+      if (isFirst) return respondWith(200, APPENDED)(request, response);
+      return breakConnection(request, response);
     });
     expect((await log.append('claims', [{}]))._unsafeUnwrap()).toEqual(
       APPENDED,
@@ -123,11 +122,11 @@
 });
 
 describe('createLogService.read', () => {
-  it('asks as the log expects, and says when it cannot', async () => {
+  it('sends the requests that the log expects, and reports errors', async () => {
     const urls: Array<string | undefined> = [];
     const {log} = await serve((request, response) => {
       urls.push(request.url);
-      answer(urls.length === 1 ? 200 : 500, PAGE)(request, response);
+      respondWith(urls.length === 1 ? 200 : 500, PAGE)(request, response);
     });
     const options = {fromOffset: 7, limit: 2, waitMs: 30};
     expect((await log.read('config', options))._unsafeUnwrap()).toEqual(PAGE);
@@ -143,10 +142,10 @@
 });
 
 describe('createVmListService.read', () => {
-  it('reads the list, or says that it cannot', async () => {
-    const answers = [answer(200, VMS), answer(200, {vms: 'none'})];
+  it('reads the list, or reports a failure', async () => {
+    const responses = [respondWith(200, VMS), respondWith(200, {vms: 'none'})];
     const {vmList} = await serve((request, response) => {
-      answers.shift()?.(request, response);
+      responses.shift()?.(request, response);
     });
     expect((await vmList.read())._unsafeUnwrap()).toEqual(VMS);
     const failed = await vmList.read();
--- a/packages/banyanfold-log/src/__tests__/fakeLog.ts
+++ b/packages/banyanfold-log/src/__tests__/fakeLog.ts
@@ -9,18 +9,18 @@
   StreamName,
 } from '../types.js';
 
-/** What goes wrong with one append. */
+/** A fault injected into one append. */
 export type AppendFault =
-  /** Refused: nothing was appended, and the caller is told so. */
+  /** Nothing is appended, and the caller receives a refusal. */
   | 'refused'
-  /** The request was lost, and the caller can't tell. */
+  /** The request is lost, and the outcome is unknown to the caller. */
   | 'lost-before'
-  /** It was appended, but the answer was lost. */
+  /** The records are appended, but the response is lost. */
   | 'lost-after'
-  /** The same two, and from then on the log is out. */
+  /** As the previous two, followed by an outage of the log. */
   | 'lost-before-outage'
   | 'lost-after-outage'
-  /** The caller gives up; the request arrives at the log later. */
+  /** The caller times out, and the records are appended later. */
   | 'late';
 
 interface FakeStream {
@@ -31,15 +31,15 @@
 
 const LATE_MS = 700;
 
-/** The platform's log in memory, with retention, outages and lost answers. */
+/** An in-memory platform log with retention, outages and lost responses. */
 export class FakeLog implements LogService {
   isOut = false;
   delayMs = 0;
-  /** Faults of the coming appends, in order. */
+  /** The faults of the next appends, in order. */
   readonly faults: Array<AppendFault | undefined> = [];
   readonly calls = {append: 0, read: 0};
-  /** Every record ever appended, also those that were trimmed. */
-  readonly everything: Array<LogRecord & {stream: StreamName}> = [];
+  /** Every record ever appended, including trimmed ones. */
+  readonly allRecords: Array<LogRecord & {stream: StreamName}> = [];
   private readonly streams = new Map<StreamName, FakeStream>();
 
   constructor(
@@ -58,7 +58,7 @@
     return new ResultAsync(this.readPage(stream, options));
   }
 
-  /** Puts records in without a call. */
+  /** Appends records directly, without faults or delays. */
   push(stream: StreamName, ...values: unknown[]): AppendResponse {
     const target = this.streamOf(stream);
     const firstOffset = target.nextOffset;
@@ -67,7 +67,7 @@
       const offset = target.nextOffset++;
       const record = {offset, appendedAtMs, value: structuredClone(value)};
       target.records.push(record);
-      this.everything.push({...record, stream});
+      this.allRecords.push({...record, stream});
     }
     for (const wake of target.waiters) wake();
     return {firstOffset, lastOffset: target.nextOffset - 1, appendedAtMs};
@@ -86,10 +86,10 @@
       this.clock.setTimer(LATE_MS, () => this.push(stream, ...values));
       return fail('append-unknown');
     }
-    const answer = this.push(stream, ...values);
+    const response = this.push(stream, ...values);
     await this.delay();
     const isLost = fault?.startsWith('lost-after');
-    return isLost ? fail('append-unknown') : ok(answer);
+    return isLost ? fail('append-unknown') : ok(response);
   }
 
   private async readPage(
@@ -147,7 +147,7 @@
   }
 }
 
-/** A gate that calls wait at while it is closed. */
+/** Blocks calls while it is closed. */
 class Gate {
   private opening: Promise<void> = Promise.resolve();
   open: () => void = () => {};
@@ -164,24 +164,26 @@
     });
   }
 
-  pass(): Promise<void> {
+  waitUntilOpen(): Promise<void> {
     return this.opening;
   }
 }
 
-/** A process's access to the log. */
+/**
+ * The log as one process sees it, with pauses of the process or of its reads.
+ */
 export class PausableLog implements LogService {
   private readonly process = new Gate();
   private readonly reads = new Gate();
 
   constructor(private readonly log: LogService) {}
 
-  /** Neither calls nor the answers to them come through until `resume`. */
+  /** Blocks calls and their responses until `resume`. */
   pause(): void {
     this.process.close();
   }
 
-  /** Breaks reads in flight and holds new ones until `resume`. */
+  /** Fails reads in flight and blocks new ones until `resume`. */
   holdReads(): void {
     this.reads.close();
   }
@@ -197,10 +199,10 @@
 
   read(...args: Parameters<LogService['read']>) {
     return this.gated(async () => {
-      await this.reads.pass();
+      await this.reads.waitUntilOpen();
       const page = await this.log.read(...args);
       if (!this.reads.isClosed) return page;
-      await this.reads.pass();
+      await this.reads.waitUntilOpen();
       return fail<LogPage>('log-unavailable');
     });
   }
@@ -209,10 +211,10 @@
     call: () => PromiseLike<Result<T, BanyanfoldError>>,
   ): ResultAsync<T, BanyanfoldError> {
     const run = async () => {
-      await this.process.pass();
-      const answer = await call();
-      await this.process.pass();
-      return answer;
+      await this.process.waitUntilOpen();
+      const response = await call();
+      await this.process.waitUntilOpen();
+      return response;
     };
     return new ResultAsync(run());
   }
@@ -220,5 +222,7 @@
 
 function fail<T>(code: string): Result<T, BanyanfoldError> {
   const place = {step: 'fake-log', peer: 'log'};
-  return err(new BanyanfoldError(code, 'a fault of the fake log', place));
+  return err(
+    new BanyanfoldError(code, 'injected fault of the fake log', place),
+  );
 }
--- a/packages/banyanfold-log/src/__tests__/keyClaims.model.test.ts
+++ b/packages/banyanfold-log/src/__tests__/keyClaims.model.test.ts
@@ -3,7 +3,7 @@
 import {describe, expect, it} from 'vitest';
 import {KeyClaims} from '../keyClaims.js';
 import {FakeLog, PausableLog, type AppendFault} from './fakeLog.js';
-import {createBasics, createRandom, keyMadeAt} from './testKit.js';
+import {createTestDependencies, createRandom, keyMadeAt} from './testKit.js';
 
 const SEED = 20_261;
 const RUNS = 2_000;
@@ -28,12 +28,12 @@
   isDead: boolean;
 }
 
-/** Processes that claim few keys, and what each of them dispatched. */
-class World {
+/** Processes that claim a few keys, and the dispatches of all of them. */
+class Simulation {
   readonly log: FakeLog;
   readonly dispatches: string[] = [];
   readonly outcomes = new Map<string, number>();
-  private readonly basics = createBasics();
+  private readonly dependencies = createTestDependencies();
   private readonly processes: Process[] = [];
   private readonly keys: string[];
   private starts = 0;
@@ -48,17 +48,19 @@
   }
 
   get clock(): VirtualClock {
-    return this.basics.clock;
+    return this.dependencies.clock;
   }
 
-  /** A successor has a new name and an empty memory. */
+  /**
+   * Starts a process, or replaces it by one with a new owner id and no state.
+   */
   start(index: number): void {
     const old = this.processes[index];
     if (old) old.isDead = true;
     old?.claims.stop();
     const log = new PausableLog(this.log);
     const claims = new KeyClaims({
-      ...this.basics,
+      ...this.dependencies,
       ...WINDOW,
       random: createRandom(this.seed + this.starts),
       log,
@@ -101,7 +103,7 @@
   }
 }
 
-type Step = (world: World) => void | Promise<void>;
+type Step = (simulation: Simulation) => void | Promise<void>;
 
 const processIndex = fc.nat({max: PROCESSES - 1});
 
@@ -112,32 +114,32 @@
       .tuple(processIndex, fc.nat({max: KEYS - 1}), fc.nat({max: 2}))
       .map(
         ([index, key, dice]): Step =>
-          world =>
-            world.claim(index, key, dice === 0),
+          simulation =>
+            simulation.claim(index, key, dice === 0),
       ),
   },
   {
     weight: 5,
     arbitrary: fc.constantFrom(1, 5, 30, 800, 4_000, 15_000, 25_000).map(
       (deltaMs): Step =>
-        world =>
-          world.clock.advance(deltaMs),
+        simulation =>
+          simulation.clock.advance(deltaMs),
     ),
   },
   {
     weight: 4,
     arbitrary: fc.constantFrom(...FAULTS).map(
       (fault): Step =>
-        world =>
-          void world.log.faults.push(fault),
+        simulation =>
+          void simulation.log.faults.push(fault),
     ),
   },
   {
     weight: 2,
     arbitrary: processIndex.map(
       (index): Step =>
-        world =>
-          world.start(index),
+        simulation =>
+          simulation.start(index),
     ),
   },
   {
@@ -153,27 +155,28 @@
       )
       .map(
         ([index, action]): Step =>
-          world =>
-            world.gate(index, action),
+          simulation =>
+            simulation.gate(index, action),
       ),
   },
   {
     weight: 2,
     arbitrary: fc
       .tuple(fc.boolean(), fc.constantFrom(0, 3, 400))
-      .map(([isOut, delayMs]): Step => world => {
-        world.log.isOut = isOut;
-        world.log.delayMs = delayMs;
+      .map(([isOut, delayMs]): Step => simulation => {
+        simulation.log.isOut = isOut;
+        simulation.log.delayMs = delayMs;
       }),
   },
 );
 
 /*
  * Callers send the same few keys through several processes. Appends are lost
- * before or after the log took them, or arrive late; the log goes out or is
- * slow and forgets; processes are paused past the retention, or die and come
- * back empty. Whatever happens, no key may be dispatched twice: a second run
- * would lodge a claim again. Some owners release, and those keys may run once.
+ * before or after they reach the log, or arrive late. The log is unavailable,
+ * slow or trims records. Processes are paused past the retention, or are
+ * replaced by ones without state. No key may be dispatched twice, because a
+ * second run would repeat a request that is not idempotent. Some owners release
+ * their key, which may then still be dispatched once.
  */
 describe('KeyClaims', () => {
   it(`dispatches each key at most once (seed ${SEED}, ${RUNS} runs)`, async () => {
@@ -183,22 +186,22 @@
         fc.array(stepArbitrary, {minLength: 5, maxLength: 80}),
         fc.nat({max: 1_000}),
         async (steps, seed) => {
-          const world = new World(seed);
+          const simulation = new Simulation(seed);
           for (const step of steps) {
-            await step(world);
-            await world.clock.advance(0);
-            const unique = new Set(world.dispatches);
-            expect(world.dispatches).toHaveLength(unique.size);
+            await step(simulation);
+            await simulation.clock.advance(0);
+            const unique = new Set(simulation.dispatches);
+            expect(simulation.dispatches).toHaveLength(unique.size);
           }
-          world.stop();
-          for (const [kind, count] of world.outcomes) {
+          simulation.stop();
+          for (const [kind, count] of simulation.outcomes) {
             totals.set(kind, (totals.get(kind) ?? 0) + count);
           }
         },
       ),
       {seed: SEED, numRuns: RUNS},
     );
-    // A run that met no owner, or no fault, would prove nothing.
+    // Checks that the runs covered owners as well as all kinds of refusals.
     expect([...totals.keys()].sort()).toMatchInlineSnapshot(`
       [
         "claim-unknown",
--- a/packages/banyanfold-log/src/__tests__/keyClaims.test.ts
+++ b/packages/banyanfold-log/src/__tests__/keyClaims.test.ts
@@ -3,22 +3,22 @@
 import {ClaimsFold} from '../claimsFold.js';
 import {KeyClaims} from '../keyClaims.js';
 import {FakeLog, PausableLog} from './fakeLog.js';
-import {createBasics, keyMadeAt, settle} from './testKit.js';
+import {createTestDependencies, keyMadeAt, settle} from './testKit.js';
 
 const RETENTION_MS = 20_000;
 const WINDOW = {horizonMs: 12_000, maxAheadMs: 2_000};
 
-function createWorld() {
-  const basics = createBasics();
-  const log = new FakeLog(basics.clock, RETENTION_MS);
+function createFixture() {
+  const dependencies = createTestDependencies();
+  const log = new FakeLog(dependencies.clock, RETENTION_MS);
   const startProcess = (owner: string) => {
     const gate = new PausableLog(log);
-    const options = {...basics, ...WINDOW, retentionMs: RETENTION_MS};
+    const options = {...dependencies, ...WINDOW, retentionMs: RETENTION_MS};
     const claims = new KeyClaims({...options, log: gate, owner});
     claims.start();
     return {gate, claims};
   };
-  return {...basics, log, startProcess};
+  return {...dependencies, log, startProcess};
 }
 
 async function claim(clock: VirtualClock, claims: KeyClaims, key: string) {
@@ -30,8 +30,8 @@
 }
 
 describe('KeyClaims.claim', () => {
-  it('tells a second caller the outcome, and keeps no large body', async () => {
-    const {clock, startProcess} = createWorld();
+  it('returns the outcome to a second caller, without a large body', async () => {
+    const {clock, startProcess} = createFixture();
     const [a, b] = [startProcess('a').claims, startProcess('b').claims];
     const keys = [1, 2].map(serial => keyMadeAt(clock.wallMs(), serial));
     const seen: string[] = [];
@@ -68,20 +68,20 @@
     [keyMadeAt(1_700_000_000_000 - 12_500), 'key-too-old'],
     [keyMadeAt(1_700_000_000_000 + 2_500), 'key-from-future'],
   ])('refuses %s as %s', async (key, code) => {
-    const {clock, log, startProcess} = createWorld();
+    const {clock, log, startProcess} = createFixture();
     const {claims} = startProcess('a');
     expect(await claim(clock, claims, key)).toBe(code);
     expect(log.calls.append).toBe(0);
   });
 
   /*
-   * The caller is refused because the answer to the append was lost and the
-   * claim isn't in the log. The claim then arrives after all and owns the key.
-   * The owner promised the caller that nothing runs, so it must not dispatch,
-   * and unless it releases the key the caller can never try again.
+   * The caller is refused because the response to the append was lost and the
+   * claim is not in the log. The claim is then appended late and owns the key.
+   * The owner must not dispatch, because the caller was refused, and unless it
+   * releases the key, the caller can never retry.
    */
-  it('releases a claim that arrives after it was given up', async () => {
-    const {clock, log, startProcess} = createWorld();
+  it('releases an abandoned claim that is appended late', async () => {
+    const {clock, log, startProcess} = createFixture();
     const [a, b] = [startProcess('a').claims, startProcess('b').claims];
     const key = keyMadeAt(clock.wallMs());
     await clock.advance(50);
@@ -92,12 +92,12 @@
   });
 
   /*
-   * Process a ran the key. Process b has its claim appended, but its reads
-   * hang until the log has forgotten a's claim, so that its own is the first
-   * it sees. Taking that for ownership would run the key twice.
+   * Process a ran the key. Process b's claim is appended, but its reads are
+   * blocked until the log has trimmed a's claim, so that its own claim is the
+   * first that it reads. Treating that as ownership would run the key twice.
    */
   it('refuses a key whose first claim it may have missed', async () => {
-    const {clock, startProcess} = createWorld();
+    const {clock, startProcess} = createFixture();
     const [a, b] = [startProcess('a'), startProcess('b')];
     const key = keyMadeAt(clock.wallMs());
     await clock.advance(50);
@@ -111,8 +111,8 @@
     expect(result._unsafeUnwrapErr().code).toBe('key-too-old');
   });
 
-  it('forgets keys past the horizon', async () => {
-    const {clock, startProcess} = createWorld();
+  it('drops keys past the horizon', async () => {
+    const {clock, startProcess} = createFixture();
     const {claims} = startProcess('a');
     for (let serial = 0; serial < 50; serial++) {
       await claim(clock, claims, keyMadeAt(clock.wallMs(), serial));
@@ -122,8 +122,8 @@
   });
 
   it('refuses a window that the log does not outlast', () => {
-    const log = new FakeLog(createBasics().clock);
-    const options = {...createBasics(), ...WINDOW, log, owner: 'a'};
+    const log = new FakeLog(createTestDependencies().clock);
+    const options = {...createTestDependencies(), ...WINDOW, log, owner: 'a'};
     expect(() => new KeyClaims({...options, retentionMs: 14_000})).toThrow(
       'lower horizonMs',
     );
--- a/packages/banyanfold-log/src/__tests__/retirements.test.ts
+++ b/packages/banyanfold-log/src/__tests__/retirements.test.ts
@@ -2,7 +2,7 @@
 import {describe, expect, it} from 'vitest';
 import {Retirements} from '../retirements.js';
 import {FakeLog, PausableLog, type AppendFault} from './fakeLog.js';
-import {createBasics, createRandom, settle} from './testKit.js';
+import {createTestDependencies, createRandom, settle} from './testKit.js';
 
 const SEED = 20_263;
 const RUNS = 3_000;
@@ -14,9 +14,9 @@
 };
 
 /** Agents that each hold one copy of the same artifact. */
-class World {
-  readonly basics = createBasics();
-  readonly log = new FakeLog(this.basics.clock, RETENTION_MS);
+class Simulation {
+  readonly dependencies = createTestDependencies();
+  readonly log = new FakeLog(this.dependencies.clock, RETENTION_MS);
   readonly unloaded = new Set<string>();
   readonly verdicts = new Set<string>();
   private readonly agents: Array<{gate: PausableLog; retirements: Retirements}>;
@@ -28,7 +28,7 @@
   start(index: number) {
     const gate = new PausableLog(this.log);
     const retirements = new Retirements({
-      ...this.basics,
+      ...this.dependencies,
       ...OPTIONS,
       random: createRandom(index),
       log: gate,
@@ -44,7 +44,7 @@
     this.agents[index]?.gate[action]();
   }
 
-  /** Relies on all copies that are not unloaded yet, as a report shows them. */
+  /** Retires a copy, relying on all other copies that are not unloaded yet. */
   retire(index: number): void {
     const copyId = `copy-${index}`;
     const others = this.agents
@@ -63,7 +63,7 @@
   }
 }
 
-type Step = (world: World) => void | Promise<void>;
+type Step = (simulation: Simulation) => void | Promise<void>;
 
 const index = fc.nat({max: 3});
 
@@ -72,16 +72,16 @@
     weight: 6,
     arbitrary: index.map(
       (at): Step =>
-        world =>
-          world.retire(at % world.copies),
+        simulation =>
+          simulation.retire(at % simulation.copies),
     ),
   },
   {
     weight: 4,
     arbitrary: fc.constantFrom(1, 50, 900, 3_000, 9_000, 25_000).map(
       (deltaMs): Step =>
-        world =>
-          world.basics.clock.advance(deltaMs),
+        simulation =>
+          simulation.dependencies.clock.advance(deltaMs),
     ),
   },
   fc
@@ -94,51 +94,51 @@
     )
     .map(
       (fault): Step =>
-        world =>
-          void world.log.faults.push(fault),
+        simulation =>
+          void simulation.log.faults.push(fault),
     ),
   fc
     .tuple(index, fc.constantFrom('pause', 'holdReads', 'resume', 'resume'))
     .map(
       ([at, action]): Step =>
-        world =>
-          world.gate(at, action),
+        simulation =>
+          simulation.gate(at, action),
     ),
   index.map(
     (at): Step =>
-      world =>
-        void world.start(at % world.copies),
+      simulation =>
+        void simulation.start(at % simulation.copies),
   ),
   fc
     .tuple(fc.boolean(), fc.constantFrom(0, 200))
-    .map(([isOut, delayMs]): Step => world => {
-      world.log.isOut = isOut;
-      world.log.delayMs = delayMs;
+    .map(([isOut, delayMs]): Step => simulation => {
+      simulation.log.isOut = isOut;
+      simulation.log.delayMs = delayMs;
     }),
 );
 
 /*
- * Two to four agents each hold a copy, and each is told that its copy is
- * surplus because the others hold one. They ask at once, with lost answers,
- * outages, pauses and restarts. If all went, callers of the artifact would
- * wait for a load, so one copy must always stay.
+ * Two to four agents each hold a copy, and each tries to retire its copy
+ * because the others hold one. The requests run concurrently, with lost
+ * responses, outages, pauses and restarts. Without any copy, callers of the
+ * artifact would wait for a load, so at least one copy must always remain.
  */
 describe('Retirements.retireCopy', () => {
-  it(`never lets all copies go (seed ${SEED}, ${RUNS} runs)`, async () => {
+  it(`never retires all copies (seed ${SEED}, ${RUNS} runs)`, async () => {
     const verdicts = new Set<string>();
     await fc.assert(
       fc.asyncProperty(
         fc.array(stepArbitrary, {minLength: 3, maxLength: 40}),
         fc.integer({min: 2, max: 4}),
         async (steps, copies) => {
-          const world = new World(copies);
-          await world.basics.clock.advance(1);
+          const simulation = new Simulation(copies);
+          await simulation.dependencies.clock.advance(1);
           for (const step of steps) {
-            await step(world);
-            await world.basics.clock.advance(0);
-            expect(world.unloaded.size).toBeLessThan(copies);
+            await step(simulation);
+            await simulation.dependencies.clock.advance(0);
+            expect(simulation.unloaded.size).toBeLessThan(copies);
           }
-          for (const verdict of world.verdicts) verdicts.add(verdict);
+          for (const verdict of simulation.verdicts) verdicts.add(verdict);
         },
       ),
       {seed: SEED, numRuns: RUNS},
@@ -156,48 +156,49 @@
   });
 
   /*
-   * An agent is paused after it decided to retire its copy, relying on one
-   * that is retired meanwhile. When it wakes, the log may have forgotten that.
+   * An agent is paused after it decided to retire its copy. The copy that it
+   * relies on is retired in the meantime, and by the time the agent resumes,
+   * the log may have trimmed that retirement.
    */
-  it('takes no decision that was made before a long pause', async () => {
-    const world = new World(2);
-    const {clock} = world.basics;
+  it('rejects a decision that was made before a long pause', async () => {
+    const simulation = new Simulation(2);
+    const {clock} = simulation.dependencies;
     await clock.advance(100);
-    world.gate(0, 'pause');
-    world.retire(0);
-    world.retire(1);
+    simulation.gate(0, 'pause');
+    simulation.retire(0);
+    simulation.retire(1);
     await clock.advance(RETENTION_MS * 2);
-    world.gate(0, 'resume');
+    simulation.gate(0, 'resume');
     await clock.advance(10_000);
-    expect([...world.unloaded]).toEqual(['copy-1']);
-    expect([...world.verdicts]).toEqual(['accepted', 'void old-view']);
+    expect([...simulation.unloaded]).toEqual(['copy-1']);
+    expect([...simulation.verdicts]).toEqual(['accepted', 'void old-view']);
   });
 
   /*
-   * Agent 0's record is in the log, but its reads hang until the log has
-   * forgotten that the copy it relies on was retired before. Its own record
-   * looks fine then, and unloading would leave no copy.
+   * Agent 0's record is in the log, but its reads are blocked until the log has
+   * trimmed the earlier retirement of the copy that it relies on. Its own
+   * record then appears valid, and unloading the copy would leave none.
    */
-  it('takes no verdict when an earlier retirement may be forgotten', async () => {
-    const world = new World(2);
-    const {clock} = world.basics;
+  it('accepts no verdict if an earlier retirement may be trimmed', async () => {
+    const simulation = new Simulation(2);
+    const {clock} = simulation.dependencies;
     await clock.advance(100);
-    world.gate(0, 'holdReads');
-    world.retire(1);
+    simulation.gate(0, 'holdReads');
+    simulation.retire(1);
     await clock.advance(5_000);
-    world.unloaded.clear();
-    world.retire(0);
+    simulation.unloaded.clear();
+    simulation.retire(0);
     await clock.advance(RETENTION_MS - 4_000);
-    world.gate(0, 'resume');
+    simulation.gate(0, 'resume');
     await clock.advance(1_000);
-    expect([...world.verdicts]).toEqual(['accepted', 'append-unknown']);
+    expect([...simulation.verdicts]).toEqual(['accepted', 'append-unknown']);
   });
 
-  it('accepts a copy once, and knows it as retired everywhere', async () => {
-    const world = new World(2);
-    const {clock} = world.basics;
+  it('accepts a copy once, and reports it as retired everywhere', async () => {
+    const simulation = new Simulation(2);
+    const {clock} = simulation.dependencies;
     await clock.advance(100);
-    const {retirements} = world.start(0);
+    const {retirements} = simulation.start(0);
     const request = {copyId: 'x', artifact: 'm@1', reliesOnCopyIds: ['y']};
     await settle(clock, retirements.caughtUp());
     const first = await settle(clock, retirements.retireCopy(request));
@@ -207,7 +208,7 @@
     const alone = {copyId: 'z', artifact: 'm@1', reliesOnCopyIds: ['z', 'x']};
     const third = await settle(clock, retirements.retireCopy(alone));
     expect(third._unsafeUnwrap()).toMatchObject({why: 'relies-on-none'});
-    const other = world.start(1).retirements;
+    const other = simulation.start(1).retirements;
     await settle(clock, other.caughtUp());
     expect(other.isRetired('x')).toBe(true);
   });
--- a/packages/banyanfold-log/src/__tests__/retry.test.ts
+++ b/packages/banyanfold-log/src/__tests__/retry.test.ts
@@ -2,7 +2,7 @@
 import {Backoff} from '../backoff.js';
 import {rendezvousOrder} from '../rendezvousOrder.js';
 import {RetryBudget} from '../retryBudget.js';
-import {createBasics} from './testKit.js';
+import {createTestDependencies} from './testKit.js';
 
 describe('Backoff.nextDelayMs', () => {
   it('draws from a range that doubles up to the cap', () => {
@@ -17,8 +17,8 @@
 });
 
 describe('RetryBudget', () => {
-  it('earns a share of the attempts and a little by time', async () => {
-    const {clock} = createBasics();
+  it('adds a share of the attempts and a little over time', async () => {
+    const {clock} = createTestDependencies();
     const rates = {tokensPerAttempt: 0.5, tokensPerSecond: 1, capacity: 2};
     const budget = new RetryBudget({clock, ...rates});
     const take = () => budget.tryTake();
@@ -35,7 +35,7 @@
 describe('rendezvousOrder', () => {
   const ids = ['a', 'b', 'c', 'd', 'e'];
 
-  it('keeps the order of the others when one goes', () => {
+  it('keeps the order of the others when one is removed', () => {
     for (let key = 0; key < 200; key++) {
       const order = rendezvousOrder(`key-${key}`, ids);
       const fewer = rendezvousOrder(`key-${key}`, ids.slice(1).reverse());
@@ -43,7 +43,7 @@
     }
   });
 
-  it('spreads keys over all', () => {
+  it('spreads keys over all ids', () => {
     const firsts = new Map<string, number>();
     for (let key = 0; key < 1_000; key++) {
       const first = rendezvousOrder(`key-${key}`, ids)[0]!;
--- a/packages/banyanfold-log/src/__tests__/streamFollower.test.ts
+++ b/packages/banyanfold-log/src/__tests__/streamFollower.test.ts
@@ -2,13 +2,15 @@
 import {BatchAppender} from '../batchAppender.js';
 import {StreamFollower, type DeliveredPage} from '../streamFollower.js';
 import {FakeLog, PausableLog} from './fakeLog.js';
-import {createBasics, settle} from './testKit.js';
+import {createTestDependencies, settle} from './testKit.js';
 
 const RETENTION_MS = 60_000;
 
-function createWorld(options: {pageLimit?: number; fromOffset?: number} = {}) {
-  const basics = createBasics();
-  const log = new FakeLog(basics.clock, RETENTION_MS);
+function createFixture(
+  options: {pageLimit?: number; fromOffset?: number} = {},
+) {
+  const dependencies = createTestDependencies();
+  const log = new FakeLog(dependencies.clock, RETENTION_MS);
   const gate = new PausableLog(log);
   const seen: string[] = [];
   const onPage = ({records, gap}: DeliveredPage) => {
@@ -16,18 +18,18 @@
     for (const {offset} of records) seen.push(String(offset));
   };
   const follower = new StreamFollower({
-    ...basics,
+    ...dependencies,
     ...options,
     log: gate,
     stream: 'claims',
     onPage,
   });
-  return {...basics, log, gate, follower, seen};
+  return {...dependencies, log, gate, follower, seen};
 }
 
 describe('StreamFollower', () => {
-  it('hands on each record once, in order, whatever the pages', async () => {
-    const {clock, log, follower, seen} = createWorld({pageLimit: 2});
+  it('delivers each record once, in order, whatever the pages', async () => {
+    const {clock, log, follower, seen} = createFixture({pageLimit: 2});
     log.push('claims', 1, 2, 3, 4, 5);
     follower.start();
     await settle(clock, follower.caughtUp());
@@ -41,11 +43,11 @@
   });
 
   /*
-   * A long poll hangs at the log while another reader asks for the present
-   * end; waiting for the poll would hold a caller at the counter for seconds.
+   * The log holds a long poll while another caller reads up to the current end.
+   * Waiting for the long poll would delay that caller by seconds.
    */
   it('reads now beside a long poll, and later calls share one read', async () => {
-    const {clock, log, follower} = createWorld();
+    const {clock, log, follower} = createFixture();
     follower.start();
     await settle(clock, follower.caughtUp());
     await clock.advance(100);
@@ -57,11 +59,12 @@
   });
 
   /*
-   * The process is paused while the log forgets records. What it missed must
-   * be reported, for a fold that doesn't know of it would decide wrongly.
+   * The reads of a process are blocked while the log trims records. The gap
+   * must be reported, because a fold that is unaware of it reaches wrong
+   * verdicts.
    */
   it('reports a gap after a pause', async () => {
-    const {clock, log, gate, follower, seen} = createWorld();
+    const {clock, log, gate, follower, seen} = createFixture();
     follower.start();
     await settle(clock, follower.caughtUp());
     gate.holdReads();
@@ -74,11 +77,11 @@
   });
 
   /*
-   * The log is out for a minute. One try after the other at growing random
-   * delays, never two at once, or its return is met by a stampede.
+   * The log is unavailable for 50 s. Reads must be retried one at a time with
+   * growing random delays, so that the recovered log is not overloaded.
    */
-  it('backs off during an outage and goes on after it', async () => {
-    const {clock, log, follower, seen} = createWorld();
+  it('backs off during an outage and continues after it', async () => {
+    const {clock, log, follower, seen} = createFixture();
     log.isOut = true;
     log.push('claims', 1);
     follower.start();
@@ -93,7 +96,7 @@
   });
 
   it('reads nothing after it was stopped', async () => {
-    const {clock, log, follower, seen} = createWorld();
+    const {clock, log, follower, seen} = createFixture();
     follower.start();
     await settle(clock, follower.caughtUp());
     follower.stop();
@@ -104,8 +107,8 @@
 });
 
 describe('BatchAppender.append', () => {
-  it('gives each caller its own offset from few calls', async () => {
-    const {clock, log} = createWorld();
+  it('returns each caller its own offset from few calls', async () => {
+    const {clock, log} = createFixture();
     const options = {log, clock, stream: 'claims', maxBatchSize: 3} as const;
     const appender = new BatchAppender(options);
     const appends = ['a', 'b', 'c', 'd'].map(value => appender.append(value));
@@ -114,8 +117,8 @@
     expect(log.calls.append).toBe(2);
   });
 
-  it('has one call in flight, and tells all of a call what became of it', async () => {
-    const {clock, log} = createWorld();
+  it('has one call in flight, and returns its result to the whole batch', async () => {
+    const {clock, log} = createFixture();
     const appender = new BatchAppender({log, clock, stream: 'claims'});
     log.delayMs = 100;
     log.faults.push('lost-after', undefined);
@@ -131,8 +134,8 @@
     expect(seen).toEqual([-1, -1, 3]);
   });
 
-  it('refuses at once when too many wait', async () => {
-    const {clock, log} = createWorld();
+  it('refuses at once when too many appends are pending', async () => {
+    const {clock, log} = createFixture();
     const options = {log, clock, stream: 'claims', maxPending: 1} as const;
     const appender = new BatchAppender(options);
     void appender.append('a');
--- a/packages/banyanfold-log/src/__tests__/testKit.ts
+++ b/packages/banyanfold-log/src/__tests__/testKit.ts
@@ -1,6 +1,6 @@
 import {MemoryLogger, VirtualClock} from '@banyanfold/core';
 
-/** A small seeded generator, so that a run can be repeated. */
+/** A seeded random number generator for reproducible runs. */
 export function createRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
@@ -9,20 +9,22 @@
   };
 }
 
-/** A UUIDv7 made at a time; `serial` tells keys of one time apart. */
+/**
+ * Creates a UUIDv7 for a time. `serial` distinguishes keys of the same time.
+ */
 export function keyMadeAt(keyMs: number, serial = 0): string {
   const time = keyMs.toString(16).padStart(12, '0');
   const tail = serial.toString(16).padStart(12, '0');
   return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-${tail}`;
 }
 
-/** What the parts under test are built on. */
-export function createBasics(seed = 1) {
+/** Creates the clock, logger and random generator for the code under test. */
+export function createTestDependencies(seed = 1) {
   const clock = new VirtualClock();
   return {clock, logger: new MemoryLogger(), random: createRandom(seed)};
 }
 
-/** Runs a promise while the virtual clock moves, for `forMs` at most. */
+/** Advances the virtual clock until a promise settles, by `forMs` at most. */
 export async function settle<T>(
   clock: VirtualClock,
   promise: PromiseLike<T>,
@@ -34,6 +36,6 @@
   for (let passedMs = 0; passedMs < forMs && !isDone; passedMs += STEP_MS) {
     await clock.advance(STEP_MS);
   }
-  if (!isDone) throw new Error('it did not settle on the virtual clock');
+  if (!isDone) throw new Error('the promise did not settle in time');
   return promise;
 }
--- a/packages/banyanfold-log/src/acquireFencingToken.ts
+++ b/packages/banyanfold-log/src/acquireFencingToken.ts
@@ -6,15 +6,15 @@
 export interface FencingTokenOptions {
   log: LogService;
   vmId: string;
-  /** A new one for each try, for example a random UUID. */
+  /** Unique for each attempt, for example a random UUID. */
   nonce: string;
 }
 
 /**
- * Gets a fencing number: the offset of a record in the `fences` stream. The
- * log hands out each offset once and in rising order, so a later holder always
- * has a higher number, without anything kept on a disk. A record that arrives
- * after its answer was given up is a number nobody uses.
+ * Acquires a fencing token, which is the offset of a new record in the `fences`
+ * stream. The log assigns each offset once and in increasing order, so a later
+ * holder always has a higher token, without local storage. A record that is
+ * appended after its caller timed out is a token that nobody uses.
  *
  * @example
  * const fencing = await acquireFencingToken({log, vmId, nonce: randomUUID()});
--- a/packages/banyanfold-log/src/appendOnce.ts
+++ b/packages/banyanfold-log/src/appendOnce.ts
@@ -2,7 +2,7 @@
 import {err, errAsync, ok, okAsync, ResultAsync, type Result} from 'neverthrow';
 import type {LogService, StreamName} from './types.js';
 
-/** A value that can be told from all others, also when it was sent twice. */
+/** A value with a unique nonce, by which its record is found in the log. */
 export interface NoncedValue {
   nonce: string;
 }
@@ -12,14 +12,14 @@
   stream: StreamName;
   value: T;
   /**
-   * The search for a lost record begins here: an offset that the log had not
-   * passed before the append. Left out, the whole stream is searched.
+   * The offset from which to search for a lost record. It must not be after the
+   * end of the stream before the append. Defaults to the start of the stream.
    */
   fromOffset?: number;
   /**
-   * The code when an answer was lost and the record isn't in the log.
-   * `log-unavailable`, the default, is for those who cope with a record that
-   * arrives after the search, as a delayed packet can.
+   * The error code if the response was lost and the record is not in the log.
+   * The default, `log-unavailable`, is for callers that tolerate a record that
+   * is appended after the search, for example because of a delayed packet.
    */
   notFoundCode?: 'log-unavailable' | 'append-unknown';
 }
@@ -27,12 +27,12 @@
 const SEARCH_PAGE_LIMIT = 500;
 
 /**
- * Appends a value with a nonce. When the answer is lost it reads the log for
- * the nonce before it decides, and never appends a second time.
+ * Appends a value with a nonce. If the response is lost, it searches the log
+ * for the nonce. It never appends the value a second time.
  *
- * @returns the record's offset; or `log-unavailable`: it isn't in the log as
- *     far as that could be read; or `append-unknown`: the log couldn't be
- *     read either.
+ * @returns the record's offset, or an error: `log-unavailable` (nothing was
+ *     appended, or the search did not find the record; see `notFoundCode`) or
+ *     `append-unknown` (the log could not be searched).
  * @example
  * const offset = await appendOnce({log, stream: 'fences',
  *   value: {kind: 'fence', vmId, nonce: randomUUID()}});
@@ -46,11 +46,11 @@
     .map(({firstOffset}) => firstOffset)
     .orElse(error => {
       if (error.code !== 'append-unknown') return errAsync(error);
-      return findLost(options, error);
+      return findLostRecord(options, error);
     });
 }
 
-function findLost(
+function findLostRecord(
   options: AppendOnceOptions,
   lost: BanyanfoldError,
 ): ResultAsync<number, BanyanfoldError> {
@@ -65,7 +65,7 @@
   });
 }
 
-/** Reads to the end of the stream as it is now. */
+/** Searches the stream up to its current end. */
 function findNonce(
   options: AppendOnceOptions,
 ): ResultAsync<number | undefined, BanyanfoldError> {
--- a/packages/banyanfold-log/src/backoff.ts
+++ b/packages/banyanfold-log/src/backoff.ts
@@ -1,8 +1,8 @@
 /** Delays of a `Backoff`. */
 export interface BackoffOptions {
-  /** The longest first delay. */
+  /** The upper bound of the first delay. */
   baseMs: number;
-  /** No delay is longer. */
+  /** The upper bound of all delays. */
   capMs: number;
   factor: number;
   random: () => number;
@@ -11,9 +11,9 @@
 export const DEFAULT_BACKOFF = {baseMs: 100, capMs: 5_000, factor: 2} as const;
 
 /**
- * Exponential backoff with full jitter. When a service comes back, clients
- * that failed at the same moment would return at the same moment too and
- * overwhelm it again; a delay drawn from the whole range spreads them evenly.
+ * Exponential backoff with full jitter. Clients that fail at the same time
+ * would otherwise retry at the same time and overload a service that has just
+ * recovered. Random delays from the whole range spread the retries evenly.
  *
  * @example
  * const backoff = new Backoff({random: Math.random});
@@ -29,7 +29,7 @@
     this.options = {...DEFAULT_BACKOFF, ...options};
   }
 
-  /** The delay in milliseconds before the next try; rises until `reset`. */
+  /** Returns the delay in milliseconds before the next retry. */
   nextDelayMs(): number {
     const {baseMs, capMs, factor, random} = this.options;
     const ceilingMs = Math.min(capMs, baseMs * factor ** this.failures);
@@ -37,7 +37,7 @@
     return random() * ceilingMs;
   }
 
-  /** Called after a success. */
+  /** Returns to the first delay. To be called after a success. */
   reset(): void {
     this.failures = 0;
   }
--- a/packages/banyanfold-log/src/batchAppender.ts
+++ b/packages/banyanfold-log/src/batchAppender.ts
@@ -6,10 +6,10 @@
   log: LogService;
   stream: StreamName;
   clock: Clock;
-  /** How long the first value waits for others. */
+  /** How long the first value of a batch waits for further values. */
   lingerMs?: number;
   maxBatchSize?: number;
-  /** Values beyond this are refused at once. */
+  /** Further values are refused at once. */
   maxPending?: number;
 }
 
@@ -21,15 +21,15 @@
 
 type Settle = (result: Result<number, BanyanfoldError>) => void;
 
-interface Waiting {
+interface PendingAppend {
   value: unknown;
   settle: Settle;
 }
 
 /**
- * Appends values of many callers in few calls, one call in flight: the log
- * takes several hundred appends a second, and a call may carry many records.
- * A lost answer is `append-unknown` for every caller of that call.
+ * Batches the values of many callers into few calls, with one call in flight.
+ * The log accepts several hundred appends per second, and each may carry many
+ * records. A lost response is `append-unknown` for every caller in the batch.
  *
  * @example
  * const appender = new BatchAppender({log, stream: 'claims', clock});
@@ -37,21 +37,24 @@
  */
 export class BatchAppender {
   private readonly options: Required<BatchAppenderOptions>;
-  private waiting: Waiting[] = [];
+  private pending: PendingAppend[] = [];
   private isScheduled = false;
 
   constructor(options: BatchAppenderOptions) {
     this.options = {...DEFAULT_BATCH_OPTIONS, ...options};
   }
 
-  /** @returns the value's own offset, or `log-unavailable`, `append-unknown`. */
+  /** @returns the value's offset, or `log-unavailable` or `append-unknown`. */
   append(value: unknown): ResultAsync<number, BanyanfoldError> {
-    if (this.waiting.length >= this.options.maxPending) {
-      const full = this.fail('log-unavailable', 'too many appends wait');
+    if (this.pending.length >= this.options.maxPending) {
+      const full = this.createError(
+        'log-unavailable',
+        'too many pending appends',
+      );
       return new ResultAsync(Promise.resolve(err(full)));
     }
     const settled = new Promise<Result<number, BanyanfoldError>>(settle => {
-      this.waiting.push({value, settle});
+      this.pending.push({value, settle});
     });
     this.schedule();
     return new ResultAsync(settled);
@@ -66,21 +69,23 @@
 
   private async flush(): Promise<void> {
     const {log, stream, maxBatchSize} = this.options;
-    const batch = this.waiting.splice(0, maxBatchSize);
+    const batch = this.pending.splice(0, maxBatchSize);
     const values = batch.map(({value}) => value);
-    const answer = await log.append(stream, values);
-    this.settleAll(batch, answer);
+    const appended = await log.append(stream, values);
+    this.settleAll(batch, appended);
     this.isScheduled = false;
-    if (this.waiting.length > 0) this.schedule();
+    if (this.pending.length > 0) this.schedule();
   }
 
   private settleAll(
-    batch: Waiting[],
-    answer: Result<AppendResponse, BanyanfoldError>,
+    batch: PendingAppend[],
+    appended: Result<AppendResponse, BanyanfoldError>,
   ): void {
     batch.forEach(({settle}, index) => {
       settle(
-        answer.andThen(given => this.offsetAt(given, index, batch.length)),
+        appended.andThen(response =>
+          this.offsetAt(response, index, batch.length),
+        ),
       );
     });
   }
@@ -92,10 +97,10 @@
   ): Result<number, BanyanfoldError> {
     if (lastOffset - firstOffset + 1 === size) return ok(firstOffset + index);
     const message = `offsets ${firstOffset} to ${lastOffset} for ${size} values`;
-    return err(this.fail('append-unknown', message));
+    return err(this.createError('append-unknown', message));
   }
 
-  private fail(code: string, message: string): BanyanfoldError {
+  private createError(code: string, message: string): BanyanfoldError {
     const step = `append-${this.options.stream}`;
     return new BanyanfoldError(code, message, {step, peer: 'log'});
   }
--- a/packages/banyanfold-log/src/checkpointAge.ts
+++ b/packages/banyanfold-log/src/checkpointAge.ts
@@ -2,16 +2,16 @@
 import type {LogRecord} from './types.js';
 
 /**
- * Since when the log holds all that a newcomer needs: the newest checkpoint
- * and each record after the offset that it was folded through. When the log
- * forgets the first of those, a newcomer has nothing to begin with.
+ * Tracks the age of the oldest record that a new reader needs: it needs the
+ * newest checkpoint and all records after the offset up to which the checkpoint
+ * was folded. Without the first of those records it cannot build the state.
  */
 export class CheckpointAge {
   private baseOffset = 0;
   private readonly appendedAtMs = new Map<number, number>();
 
-  /** Takes in each record of the stream. */
-  note({offset, appendedAtMs, value}: LogRecord): void {
+  /** To be called for each record of the `config` stream. */
+  observe({offset, appendedAtMs, value}: LogRecord): void {
     this.appendedAtMs.set(offset, appendedAtMs);
     const event = readConfigEvent(value, offset);
     if (event.kind !== 'checkpoint') return;
@@ -23,8 +23,8 @@
   }
 
   /**
-   * When the oldest record that a newcomer needs was appended, by the log's
-   * clock; undefined when the log no longer has it.
+   * When the oldest record that a new reader needs was appended, by the log's
+   * clock; undefined if the log trimmed it before it was read.
    */
   get neededSinceMs(): number | undefined {
     return this.appendedAtMs.get(this.baseOffset + 1);
--- a/packages/banyanfold-log/src/checkpointer.ts
+++ b/packages/banyanfold-log/src/checkpointer.ts
@@ -9,39 +9,41 @@
   log: LogService;
   logger: Logger;
   vmId: string;
-  /** Those among whom one re-appends checkpoints, this VM included. */
+  /**
+   * The VMs that share the task of appending checkpoints, including this one.
+   */
   liveVmIds(): readonly string[];
   /** How long the log keeps a record. */
   retentionMs: number;
 }
 
-/** The owner acts at half the retention, the others one step later each. */
-const OWNER_SHARE = 1 / 2;
-const RANK_SHARE = 1 / 16;
+/** The first VM acts at half the retention, each further VM one step later. */
+const FIRST_RANK_RETENTION_SHARE = 1 / 2;
+const RETENTION_SHARE_PER_RANK = 1 / 16;
 const MAX_RANK = 4;
 
 /**
- * Appends the configuration in force again before the log forgets what a
- * newcomer needs. Without it, once all VMs had been replaced, nobody would
- * know the configuration any more. One VM does it, by rendezvous order, and
- * the next ones only when it hasn't; two at once do no harm, for both tell
- * the same state.
+ * Appends a checkpoint of the configuration in force before the log trims the
+ * records that a new reader needs. Otherwise the configuration would be lost
+ * once all VMs had been replaced. The first VM in rendezvous order appends it,
+ * and the next ones only if it has not. Concurrent checkpoints are harmless,
+ * because they contain the same state.
  */
 export class Checkpointer {
   private readonly age = new CheckpointAge();
   private isAppending = false;
-  /** Since when no newcomer could begin from the log; by the log's clock. */
+  /** Since when no new reader could build the state, by the log's clock. */
   private baseLostSinceMs: number | undefined;
 
   constructor(private readonly options: CheckpointerOptions) {}
 
-  /** Takes in each record of the `config` stream. */
-  note(record: LogRecord): void {
-    this.age.note(record);
+  /** To be called for each record of the `config` stream. */
+  observe(record: LogRecord): void {
+    this.age.observe(record);
   }
 
-  /** Called from time to time. */
-  async appendWhenDue(
+  /** Appends a checkpoint if one is due. To be called periodically. */
+  async appendIfDue(
     follower: Pick<StreamFollower, 'logNowMs' | 'hasCaughtUp'>,
     fold: Pick<ConfigFold, 'state' | 'needsBase'>,
   ): Promise<void> {
@@ -55,14 +57,17 @@
 
   private isDue(logNowMs: number): boolean {
     const {retentionMs} = this.options;
-    const delayMs = retentionMs * RANK_SHARE * this.rank();
+    const delayMs = retentionMs * RETENTION_SHARE_PER_RANK * this.rank();
     const {neededSinceMs} = this.age;
     if (neededSinceMs === undefined) {
       this.baseLostSinceMs ??= logNowMs;
       return logNowMs - this.baseLostSinceMs >= delayMs;
     }
     this.baseLostSinceMs = undefined;
-    return logNowMs - neededSinceMs >= retentionMs * OWNER_SHARE + delayMs;
+    return (
+      logNowMs - neededSinceMs >=
+      retentionMs * FIRST_RANK_RETENTION_SHARE + delayMs
+    );
   }
 
   private rank(): number {
--- a/packages/banyanfold-log/src/claimRecords.ts
+++ b/packages/banyanfold-log/src/claimRecords.ts
@@ -1,16 +1,16 @@
 import {z} from 'zod';
 
-/** Asks for a key; the first one within the key's window owns it. */
+/** Claims a key. The first claim within the key's window owns it. */
 export const claimRecordSchema = z.object({
   kind: z.literal('claim'),
   key: z.string(),
-  /** One process, not one VM: a successor knows nothing of the run. */
+  /** A process rather than a VM: its successor has no state of the run. */
   owner: z.string(),
   nonce: z.string(),
   atKeyMs: z.number(),
 });
 
-/** The run ended; `body` only when it was small enough. */
+/** Reports that the run ended. `body` is set only if it is small enough. */
 export const finishedRecordSchema = z.object({
   kind: z.literal('finished'),
   key: z.string(),
@@ -19,7 +19,7 @@
   body: z.string().optional(),
 });
 
-/** The owner never dispatched and promises that it never will. */
+/** States that the owner has not dispatched and never will. */
 export const releasedRecordSchema = z.object({
   kind: z.literal('released'),
   key: z.string(),
@@ -37,9 +37,9 @@
 export type ReleasedRecord = z.infer<typeof releasedRecordSchema>;
 export type ClaimsRecord = z.infer<typeof claimsRecordSchema>;
 
-/** What a run of a key came to. */
+/** The result of the run of a key. */
 export interface FinishedRun {
   status: number;
-  /** Undefined when it was too large to keep. */
+  /** Undefined if it was too large to store. */
   body?: string | undefined;
 }
--- a/packages/banyanfold-log/src/claimNotes.ts
+++ b/packages/banyanfold-log/src/claimUpdateAppender.ts
@@ -13,7 +13,7 @@
   ReleasedRecord,
 } from './claimRecords.js';
 
-export interface ClaimNotesOptions {
+export interface ClaimUpdateAppenderOptions {
   appender: BatchAppender;
   clock: Clock;
   logger: Logger;
@@ -25,11 +25,11 @@
 const MAX_ATTEMPTS = 5;
 
 /**
- * Appends what an owner has to say about its key. Both kinds of record are
- * idempotent, so unlike a claim they may be appended again after a failure.
+ * Appends the `finished` and `released` records of keys that this process owns.
+ * Both are idempotent, so unlike a claim they are retried after a failure.
  */
-export class ClaimNotes {
-  constructor(private readonly options: ClaimNotesOptions) {}
+export class ClaimUpdateAppender {
+  constructor(private readonly options: ClaimUpdateAppenderOptions) {}
 
   finish(
     key: string,
@@ -52,10 +52,10 @@
   private append(
     record: FinishedRecord | ReleasedRecord,
   ): ResultAsync<number, BanyanfoldError> {
-    return new ResultAsync(this.repeatAppend(record));
+    return new ResultAsync(this.appendWithRetries(record));
   }
 
-  private async repeatAppend(
+  private async appendWithRetries(
     record: FinishedRecord | ReleasedRecord,
   ): Promise<Result<number, BanyanfoldError>> {
     const {appender, clock, logger, random} = this.options;
--- a/packages/banyanfold-log/src/claimWindow.ts
+++ b/packages/banyanfold-log/src/claimWindow.ts
@@ -1,10 +1,10 @@
 import {BanyanfoldError} from '@banyanfold/core';
 
-/** The bounds within which a key may be claimed. */
+/** The bounds on the timestamp of a key that may be claimed. */
 export interface ClaimWindow {
-  /** How old a key may be when its claim is appended. */
+  /** The maximum age of a key when its claim is appended. */
   horizonMs: number;
-  /** How far a key's clock may be ahead of the log's. */
+  /** The maximum time by which a key may be ahead of the log's clock. */
   maxAheadMs: number;
 }
 
@@ -16,16 +16,17 @@
 export type WindowRefusal = 'key-too-old' | 'key-from-future';
 
 /**
- * Judges the time K of a key against the time T at which its claim was
+ * Checks the timestamp K of a key against the time T at which its claim was
  * appended, by the log's clock: `T - horizonMs <= K <= T + maxAheadMs`.
  *
- * Why a key can't be owned twice although the log forgets: take two claims of
- * one key within their windows, appended at T1 < T2. The first gives
- * `T1 >= K - maxAheadMs`, the second `T2 <= K + horizonMs`, so
- * `T2 - T1 <= horizonMs + maxAheadMs < retentionMs`: the first is still in the
- * log when the second is appended. A reader that judges later than that may
- * have missed the first; it knows the latest time of what it missed (see
- * `ClaimsFold`) and refuses each key whose first claim could be as old.
+ * A key cannot be owned twice even though the log trims old records. Suppose
+ * two claims of one key are within their windows and appended at T1 < T2. The
+ * first implies `T1 >= K - maxAheadMs`, the second `T2 <= K + horizonMs`, so
+ * `T2 - T1 <= horizonMs + maxAheadMs < retentionMs`, and the first claim is
+ * still in the log when the second is appended. A reader that evaluates the
+ * second claim later may have missed the first. It tracks the latest time of
+ * the records that it missed (see `MissedRecords`) and refuses every key whose
+ * first claim could be that old.
  */
 export function checkWindow(
   keyMs: number,
--- a/packages/banyanfold-log/src/claimsFold.ts
+++ b/packages/banyanfold-log/src/claimsFold.ts
@@ -15,7 +15,7 @@
 import {KeyExpiry} from './keyExpiry.js';
 import type {LogRecord} from './types.js';
 
-/** Who owns a key and what became of it. */
+/** The owner of a key and the state of its run. */
 export interface KeyState {
   owner: string;
   claimOffset: number;
@@ -28,7 +28,7 @@
   | {kind: 'taken'}
   | {kind: 'refused'; code: 'key-not-uuidv7' | WindowRefusal};
 
-/** A claim record and the verdict on it. */
+/** A claim record, its offset and the verdict on it. */
 export interface EvaluatedClaim {
   claim: ClaimRecord;
   offset: number;
@@ -36,22 +36,24 @@
 }
 
 export interface ClaimsFoldOptions extends ClaimWindow {
-  /** Memory for all kept bodies; beyond it only the status is kept. */
+  /**
+   * Memory limit for all stored bodies. Above it, only the status is stored.
+   */
   maxBodiesBytes?: number;
 }
 
 const DEFAULT_MAX_BODIES_BYTES = 64 * 1024 * 1024;
-/** Of no process; a run whose claim was trimmed before it was read. */
+/** No record has this offset. It marks a run whose claim was trimmed unread. */
 const UNKNOWN_CLAIM_OFFSET = 0;
 
 /**
- * Folds the `claims` stream: the first claim of a key within its window owns
- * it, until that very claim is released. A fold that saw every record gives
- * the same verdicts everywhere.
+ * Folds the `claims` stream. The first claim of a key within its window owns
+ * the key until that claim is released. All folds that read every record reach
+ * the same verdicts.
  *
  * @example
- * const judged = fold.apply(record);
- * if (judged?.verdict.kind === 'owner') dispatch();
+ * const evaluated = fold.apply(record);
+ * if (evaluated?.verdict.kind === 'owner') dispatch();
  */
 export class ClaimsFold {
   private readonly keys = new Map<string, KeyState>();
@@ -65,9 +67,9 @@
       at: LogRecord,
     ) => EvaluatedClaim | undefined;
   } = {
-    claim: (claim, at) => this.judge(claim, at),
-    finished: record => this.noteFinished(record),
-    released: record => this.noteReleased(record),
+    claim: (claim, at) => this.evaluateClaim(claim, at),
+    finished: record => this.applyFinished(record),
+    released: record => this.applyReleased(record),
   };
 
   constructor(private readonly options: ClaimsFoldOptions) {
@@ -75,7 +77,7 @@
     this.expiry = new KeyExpiry(options);
   }
 
-  /** Takes in the next record; the verdict when it was a claim. */
+  /** Applies the next record and returns the verdict if it is a claim. */
   apply(record: LogRecord): EvaluatedClaim | undefined {
     const parsed = claimsRecordSchema.safeParse(record.value);
     if (!parsed.success) return undefined;
@@ -86,7 +88,7 @@
     return handler(parsed.data, record);
   }
 
-  /** What is known of a key, in the spelling of `parseTimedKey`. */
+  /** The state of a key, as normalized by `parseTimedKey`. */
   stateOf(key: string): KeyState | undefined {
     return this.keys.get(key);
   }
@@ -95,15 +97,17 @@
     return this.keys.size;
   }
 
-  /** Drops keys that no claim can own any more; `logNowMs` is the log's. */
+  /**
+   * Drops the keys that can no longer be claimed at `logNowMs`, the log's time.
+   */
   dropExpired(logNowMs: number): void {
     for (const key of this.expiry.takeExpired(logNowMs)) {
-      this.bodiesBytes -= bytesOf(this.keys.get(key)?.finished);
+      this.bodiesBytes -= bodyBytesOf(this.keys.get(key)?.finished);
       this.keys.delete(key);
     }
   }
 
-  private judge(claim: ClaimRecord, at: LogRecord): EvaluatedClaim {
+  private evaluateClaim(claim: ClaimRecord, at: LogRecord): EvaluatedClaim {
     const {offset, appendedAtMs} = at;
     const timed = parseTimedKey(claim.key);
     const refused = (
@@ -120,7 +124,7 @@
     if (known && !known.isReleased) {
       return {claim, offset, verdict: {kind: 'taken'}};
     }
-    this.setKey(timed.key, timed.keyMs, {
+    this.setState(timed.key, timed.keyMs, {
       owner: claim.owner,
       claimOffset: offset,
       isReleased: false,
@@ -128,40 +132,40 @@
     return {claim, offset, verdict: {kind: 'owner', claimOffset: offset}};
   }
 
-  private noteFinished(record: FinishedRecord): undefined {
+  private applyFinished(record: FinishedRecord): undefined {
     const timed = parseTimedKey(record.key);
     if (!timed) return;
     const known = this.keys.get(timed.key);
     if (known?.finished) return;
     const {owner} = record;
     const state = known ?? {owner, claimOffset: UNKNOWN_CLAIM_OFFSET};
-    const finished = this.keepRun(record);
-    // Only an owner can finish: the key was run, also when the claim of the
-    // run was trimmed before it was read here.
+    const finished = this.limitRun(record);
+    // Only an owner appends this record, so the key was run even if its claim
+    // was trimmed before this reader saw it.
     const isReleased = false;
-    this.setKey(timed.key, timed.keyMs, {...state, isReleased, finished});
+    this.setState(timed.key, timed.keyMs, {...state, isReleased, finished});
   }
 
-  private noteReleased({key, claimOffset}: ReleasedRecord): undefined {
+  private applyReleased({key, claimOffset}: ReleasedRecord): undefined {
     const known = this.keys.get(parseTimedKey(key)?.key ?? '');
-    // A release sent twice must not free the key of the next owner.
+    // A duplicate release must not release the key of the next owner.
     if (known?.claimOffset !== claimOffset || known.finished) return;
     known.isReleased = true;
   }
 
-  private keepRun({status, body}: FinishedRecord): FinishedRun {
-    const runBytes = bytesOf({status, body});
+  private limitRun({status, body}: FinishedRecord): FinishedRun {
+    const runBytes = bodyBytesOf({status, body});
     if (this.bodiesBytes + runBytes > this.maxBodiesBytes) return {status};
     this.bodiesBytes += runBytes;
     return {status, body};
   }
 
-  private setKey(key: string, keyMs: number, state: KeyState): void {
+  private setState(key: string, keyMs: number, state: KeyState): void {
     if (!this.keys.has(key)) this.expiry.add(key, keyMs);
     this.keys.set(key, state);
   }
 }
 
-function bytesOf(run: FinishedRun | undefined): number {
+function bodyBytesOf(run: FinishedRun | undefined): number {
   return run?.body === undefined ? 0 : Buffer.byteLength(run.body);
 }
--- a/packages/banyanfold-log/src/configFollower.ts
+++ b/packages/banyanfold-log/src/configFollower.ts
@@ -25,23 +25,25 @@
   logger: Logger;
   random: () => number;
   vmId: string;
-  /** Those among whom one re-appends checkpoints, this VM included. */
+  /**
+   * The VMs that share the task of appending checkpoints, including this one.
+   */
   liveVmIds(): readonly string[];
   /** How long the log keeps a record. */
   retentionMs: number;
   /**
-   * Asked until the end of the log was reached once, and while a gap keeps the
-   * fold from going on. Two peers are enough; each answer is a whole state.
+   * Called until the follower first reaches the end of the log, and while a gap
+   * blocks the fold. Two peers suffice, because each returns a complete state.
    */
   fetchPeerSnapshots?(): Promise<readonly unknown[]>;
-  /** Called after each change of version. */
+  /** Called after each change of the version in force. */
   onChange?(state: ConfigState): void;
   checkpointCheckMs?: number;
   createNonce?(): string;
 }
 
 export interface PublishRequest {
-  /** The version it is based on; 0 for the first. */
+  /** The version that this one replaces; 0 for the first. */
   baseVersion: number;
   publisher: string;
   body: PublishedConfig;
@@ -51,9 +53,9 @@
 const PUBLISH_PLACE = {step: 'publish-config', peer: 'log'} as const;
 
 /**
- * Keeps the configuration in force: follows the `config` stream, takes newer
- * state from peers, and appends a checkpoint again before the log forgets
- * what a newcomer needs.
+ * Maintains the configuration in force. It follows the `config` stream, adopts
+ * newer state from peers, and appends a checkpoint before the log trims the
+ * records that a new reader needs.
  *
  * @example
  * const follower = new ConfigFollower({log, clock, logger, random, vmId,
@@ -87,40 +89,40 @@
     });
   }
 
-  /** The configuration in force, or undefined when none is known. */
+  /** The configuration in force, or undefined if none is known. */
   get state(): ConfigState | undefined {
     return this.fold.state;
   }
 
-  /** The version in force; 0 for none. */
+  /** The version in force; 0 if none is known. */
   get version(): number {
     return this.fold.state?.version ?? 0;
   }
 
-  /** The log's clock, as `viewedAtMs` of a retirement wants it. */
+  /** The log's current time, for example for `viewedAtMs` of a retirement. */
   get logNowMs(): number | undefined {
     return this.follower.logNowMs;
   }
 
-  /** Whether a gap in the log keeps this node from following changes. */
+  /** Whether a gap in the log prevents this node from following changes. */
   get needsBase(): boolean {
     return this.fold.needsBase;
   }
 
-  /** Resolves when there is a configuration in force here. */
+  /** Resolves when this node first has a configuration in force. */
   ready(): Promise<void> {
     return this.readyPromise;
   }
 
-  /** Resolves once the end of the log was reached for the first time. */
+  /** Resolves when the follower first reaches the end of the log. */
   caughtUp(): Promise<void> {
     return this.follower.caughtUp();
   }
 
   start(): void {
     this.follower.start();
-    void this.askPeers();
-    this.scheduleCheck();
+    void this.fetchFromPeers();
+    this.schedulePeriodicCheck();
   }
 
   stop(): void {
@@ -128,25 +130,25 @@
     this.timer?.cancel();
   }
 
-  /** Takes a peer's state when it is newer; says whether it was. */
+  /** Adopts a peer's state if it is newer. Returns whether it was adopted. */
   restore(snapshot: unknown): boolean {
     const isTaken = this.fold.restore(snapshot);
-    if (isTaken) this.noteChange();
+    if (isTaken) this.notifyOnChange();
     return isTaken;
   }
 
-  /** Folds through the end of the log as it is now. */
+  /** Folds all records up to the current end of the log. */
   readNow(): ResultAsync<number, BanyanfoldError> {
     return this.follower.readNow();
   }
 
   /**
-   * Publishes a configuration and waits for the verdict on it.
+   * Publishes a configuration and waits for its verdict.
    *
-   * @returns `accepted` with its version, or `void` with the version in force;
-   *     or an error: `log-unavailable` and `config-needs-base` (it isn't
-   *     published), or `append-unknown` (it may be, now or later: read the
-   *     version again).
+   * @returns `accepted` with its version, or `void` with the version in force,
+   *     or an error: `log-unavailable` or `config-needs-base` (it was not
+   *     published), or `append-unknown` (it may be published now or later, so
+   *     read the version again).
    * @example
    * await follower.publishConfig({baseVersion: follower.version,
    *   publisher: 'ana', body});
@@ -180,8 +182,8 @@
     const verdict = this.fold.verdict(offset.value);
     if (verdict) return ok(verdict);
     const message = read.isErr()
-      ? `appended at ${offset.value}, but not judged: ${read.error.message}`
-      : `appended at ${offset.value}, but a gap in the log hides its base`;
+      ? `appended at ${offset.value}, but its verdict is unknown: ${read.error.message}`
+      : `appended at ${offset.value}, but a gap in the log hides its base version`;
     return err(new BanyanfoldError('append-unknown', message, PUBLISH_PLACE));
   }
 
@@ -189,13 +191,13 @@
     this.fold.noteFirstOffset(page.firstOffset);
     for (const record of page.records) {
       this.fold.apply(record);
-      this.checkpointer.note(record);
+      this.checkpointer.observe(record);
     }
-    this.noteChange();
-    if (this.fold.needsBase) void this.askPeers();
+    this.notifyOnChange();
+    if (this.fold.needsBase) void this.fetchFromPeers();
   }
 
-  private noteChange(): void {
+  private notifyOnChange(): void {
     const state = this.fold.state;
     if (!state || state.version === this.lastVersion) return;
     this.lastVersion = state.version;
@@ -205,7 +207,7 @@
     this.resolveReady();
   }
 
-  private async askPeers(): Promise<void> {
+  private async fetchFromPeers(): Promise<void> {
     const {fetchPeerSnapshots, logger} = this.options;
     if (!fetchPeerSnapshots) return;
     try {
@@ -221,18 +223,18 @@
     }
   }
 
-  private scheduleCheck(): void {
+  private schedulePeriodicCheck(): void {
     const {clock, checkpointCheckMs = DEFAULT_CHECKPOINT_CHECK_MS} =
       this.options;
     this.timer = clock.setTimer(checkpointCheckMs, () => {
-      void this.check();
-      this.scheduleCheck();
+      void this.runPeriodicCheck();
+      this.schedulePeriodicCheck();
     });
   }
 
-  private async check(): Promise<void> {
+  private async runPeriodicCheck(): Promise<void> {
     const {hasCaughtUp} = this.follower;
-    if (this.fold.needsBase || !hasCaughtUp) await this.askPeers();
-    await this.checkpointer.appendWhenDue(this.follower, this.fold);
+    if (this.fold.needsBase || !hasCaughtUp) await this.fetchFromPeers();
+    await this.checkpointer.appendIfDue(this.follower, this.fold);
   }
 }
--- a/packages/banyanfold-log/src/createLogService.ts
+++ b/packages/banyanfold-log/src/createLogService.ts
@@ -8,12 +8,12 @@
   type StreamName,
 } from './types.js';
 
-/** How a service of the platform is reached. */
+/** Connection options of a platform service. */
 export interface ServiceOptions {
   /** For example `http://127.0.0.1:8300`. */
   url: string;
   clock?: Clock;
-  /** For a whole call; a long poll gets its wait on top. */
+  /** The timeout of a whole call. The wait of a long poll is added to it. */
   timeoutMs?: number;
   dispatcher?: Dispatcher;
 }
@@ -21,9 +21,9 @@
 export const DEFAULT_SERVICE_TIMEOUT_MS = 3_000;
 
 /**
- * A client of the platform's log. It never repeats an append by itself: when
- * an answer is lost the record may be in the log, and a second one would be a
- * second record. `appendOnce` finds out first.
+ * Creates a client of the platform log. It never retries an append: after a
+ * lost response the record may be in the log, and a retry would append a
+ * duplicate. `appendOnce` searches the log in that case.
  *
  * @example
  * const log = createLogService({url: 'http://127.0.0.1:8300'});
@@ -46,8 +46,8 @@
         clock,
         timeoutMs,
         dispatcher: options.dispatcher,
-        notDoneCode: 'log-unavailable',
-        unknownCode: 'append-unknown',
+        notExecutedCode: 'log-unavailable',
+        outcomeUnknownCode: 'append-unknown',
       }),
     read: (stream, {fromOffset, limit, waitMs = 0, signal}) => {
       const query = new URLSearchParams({from: String(fromOffset)});
@@ -62,8 +62,8 @@
         timeoutMs: timeoutMs + waitMs,
         signal,
         dispatcher: options.dispatcher,
-        notDoneCode: 'log-unavailable',
-        unknownCode: 'log-unavailable',
+        notExecutedCode: 'log-unavailable',
+        outcomeUnknownCode: 'log-unavailable',
       });
     },
   };
--- a/packages/banyanfold-log/src/createVmListService.ts
+++ b/packages/banyanfold-log/src/createVmListService.ts
@@ -7,7 +7,7 @@
 import {vmListSchema, type VmListService} from './types.js';
 
 /**
- * A client of the platform's list of VMs.
+ * Creates a client of the platform's VM list.
  *
  * @example
  * const vms = createVmListService({url: 'http://127.0.0.1:8301'});
@@ -27,8 +27,8 @@
         clock,
         timeoutMs,
         dispatcher: options.dispatcher,
-        notDoneCode: 'vm-list-unavailable',
-        unknownCode: 'vm-list-unavailable',
+        notExecutedCode: 'vm-list-unavailable',
+        outcomeUnknownCode: 'vm-list-unavailable',
       }),
   };
 }
--- a/packages/banyanfold-log/src/httpJson.ts
+++ b/packages/banyanfold-log/src/httpJson.ts
@@ -8,7 +8,7 @@
 import {request, type Dispatcher} from 'undici';
 import type {z} from 'zod';
 
-/** One call to a service of the platform. */
+/** One HTTP call to a platform service. */
 export interface JsonCall<S extends z.ZodType> {
   method: 'GET' | 'POST';
   url: string;
@@ -17,36 +17,38 @@
   place: ErrorPlace;
   clock: Clock;
   timeoutMs: number;
-  /** Gives up the call, beside the timeout. */
+  /** Aborts the call, in addition to the timeout. */
   signal?: AbortSignal | undefined;
   dispatcher?: Dispatcher | undefined;
-  /** The code when nothing was done at the other side. */
-  notDoneCode: string;
-  /** The code when it can't be known whether it was done. */
-  unknownCode: string;
+  /** The error code if the service did not execute the call. */
+  notExecutedCode: string;
+  /** The error code if it is unknown whether the service executed the call. */
+  outcomeUnknownCode: string;
 }
 
 const OK_STATUS = 200;
 const FIRST_SERVER_ERROR_STATUS = 500;
 const UNAVAILABLE_STATUS = 503;
 
-/** Makes one call, never a second one, and checks the answer's schema. */
+/** Makes one call without retries and validates the response's schema. */
 export function callJson<S extends z.ZodType>(
   call: JsonCall<S>,
 ): ResultAsync<z.output<S>, BanyanfoldError> {
   const abort = new AbortController();
   const timer = call.clock.setTimer(call.timeoutMs, () => abort.abort());
   const signals = call.signal ? [abort.signal, call.signal] : [abort.signal];
-  const answer = exchange(call, AbortSignal.any(signals)).finally(() =>
+  const response = sendRequest(call, AbortSignal.any(signals)).finally(() =>
     timer.cancel(),
   );
-  return ResultAsync.fromPromise(answer, thrown => {
-    const code = wasNeverSent(thrown) ? call.notDoneCode : call.unknownCode;
+  return ResultAsync.fromPromise(response, thrown => {
+    const code = wasNeverSent(thrown)
+      ? call.notExecutedCode
+      : call.outcomeUnknownCode;
     return toBanyanfoldError(thrown, code, call.place);
   });
 }
 
-async function exchange<S extends z.ZodType>(
+async function sendRequest<S extends z.ZodType>(
   call: JsonCall<S>,
   signal: AbortSignal,
 ): Promise<z.output<S>> {
@@ -69,21 +71,21 @@
   return call.schema.parse(await response.body.json()) as z.output<S>;
 }
 
-/** A refusal says that nothing was done; another 5xx says nothing. */
+/** A 503 or a status below 500 proves that the call was not executed. */
 function statusError<S extends z.ZodType>(
   call: JsonCall<S>,
   status: number,
 ): BanyanfoldError {
   const isRefusal =
     status === UNAVAILABLE_STATUS || status < FIRST_SERVER_ERROR_STATUS;
-  const code = isRefusal ? call.notDoneCode : call.unknownCode;
+  const code = isRefusal ? call.notExecutedCode : call.outcomeUnknownCode;
   return new BanyanfoldError(code, `answered ${status}`, call.place);
 }
 
 /**
- * Whether the call failed before any of it left. Only a failure to connect
- * proves that; the same codes on an open connection, after the request was
- * written, prove nothing.
+ * Whether the call failed before any of it was sent. Only a failure to connect
+ * proves that. On an open connection the same error codes may occur after the
+ * request was written.
  */
 function wasNeverSent(thrown: unknown): boolean {
   if (!(thrown instanceof Error)) return false;
--- a/packages/banyanfold-log/src/keyClaims.ts
+++ b/packages/banyanfold-log/src/keyClaims.ts
@@ -2,7 +2,7 @@
 import {err, ok, ResultAsync, type Result} from 'neverthrow';
 import {v4 as uuidV4} from 'uuid';
 import {BatchAppender, DEFAULT_BATCH_OPTIONS} from './batchAppender.js';
-import {ClaimNotes} from './claimNotes.js';
+import {ClaimUpdateAppender} from './claimUpdateAppender.js';
 import type {ClaimRecord, FinishedRun} from './claimRecords.js';
 import {
   assertWindowFits,
@@ -22,22 +22,22 @@
   type KeyClaimsOptions,
 } from './keyClaimsTypes.js';
 import {parseTimedKey, type TimedKey} from './keyTime.js';
-import {OwnClaims} from './ownClaims.js';
+import {PendingClaims} from './pendingClaims.js';
 import {refuseClaim} from './refuseClaim.js';
 import {StreamFollower, type DeliveredPage} from './streamFollower.js';
 import {STREAMS} from './types.js';
-import {UnseenRecords} from './unseenRecords.js';
+import {MissedRecords} from './missedRecords.js';
 
 /**
- * Claims idempotency keys, so that a request which may not be repeated runs at
- * most once: of all claims of a key the first in the log owns it, and only its
- * owner dispatches. Ownership doesn't lapse, so a process that was paused
- * after its verdict loses nothing to a successor.
+ * Claims idempotency keys so that a non-idempotent request runs at most once.
+ * The first claim of a key in the log owns the key, and only its owner
+ * dispatches. Ownership does not expire, so no other process can take the key
+ * from a process that was paused after its verdict.
  *
- * When the answer to an append is lost, the log is searched for the claim. If
- * that can't be done, the claim is abandoned: the caller is refused, and
- * should the claim turn out to own the key, it is released then. That is safe
- * because this process has promised, by abandoning, never to dispatch it.
+ * When the response to an append is lost, the log is searched for the claim. If
+ * the search fails, the claim is abandoned: the caller is refused, and the key
+ * is released if the claim turns out to own it. The release is safe because
+ * this process never dispatches an abandoned claim.
  *
  * @example
  * const outcome = await claims.claim(key);
@@ -46,12 +46,12 @@
 export class KeyClaims {
   private readonly window: ClaimWindow;
   private readonly fold: ClaimsFold;
-  private readonly unseen: UnseenRecords;
+  private readonly missedRecords: MissedRecords;
   private readonly follower: StreamFollower;
   private readonly appender: BatchAppender;
   private readonly createNonce: () => string;
-  private readonly own: OwnClaims;
-  private readonly notes: ClaimNotes;
+  private readonly pendingClaims: PendingClaims;
+  private readonly updates: ClaimUpdateAppender;
 
   /** @throws BanyanfoldError `claim-window-too-wide`. */
   constructor(private readonly options: KeyClaimsOptions) {
@@ -64,17 +64,17 @@
     assertWindowFits(this.window, retentionMs);
     this.createNonce = options.createNonce ?? uuidV4;
     this.fold = new ClaimsFold(this.window);
-    this.unseen = new UnseenRecords(retentionMs);
+    this.missedRecords = new MissedRecords(retentionMs);
     const stream = STREAMS.claims;
     const {
       owner,
       bodyLimitBytes = DEFAULT_BODY_LIMIT_BYTES,
       lingerMs = DEFAULT_BATCH_OPTIONS.lingerMs,
     } = options;
-    this.own = new OwnClaims(this.window);
+    this.pendingClaims = new PendingClaims(this.window);
     this.appender = new BatchAppender({log, stream, clock, lingerMs});
     const {appender} = this;
-    this.notes = new ClaimNotes({
+    this.updates = new ClaimUpdateAppender({
       appender,
       clock,
       logger,
@@ -100,38 +100,39 @@
     this.follower.stop();
   }
 
-  /** Resolves once the whole stream was folded for the first time. */
+  /** Resolves when the fold first reaches the end of the stream. */
   caughtUp(): Promise<void> {
     return this.follower.caughtUp();
   }
 
-  /** How many keys are remembered. */
+  /** The number of keys held in memory. */
   get keyCount(): number {
     return this.fold.size;
   }
 
   /**
-   * Claims a key. A caller that gives up waiting for the verdict must still
-   * `release` the key if the verdict is `owner`.
+   * Claims a key. A caller that stops waiting for the outcome must still
+   * `release` the key if the outcome is `owner`.
    *
-   * @returns `owner`: dispatch; `taken`: somebody dispatched or will; or an
-   *     error with a `ClaimErrorCode`: this claim runs nothing, now or later.
+   * @returns `owner` if the caller must dispatch, `taken` if the owner of
+   *     another claim has dispatched or will dispatch, or an error with a
+   *     `ClaimErrorCode` if this claim never leads to a dispatch.
    */
   claim(text: string): ResultAsync<ClaimOutcome, BanyanfoldError> {
     return new ResultAsync(this.claimKey(text));
   }
 
-  /** Tells all what the run of an owned key came to. */
+  /** Publishes the result of the run of an owned key. */
   finish(key: string, run: FinishedRun): ResultAsync<number, BanyanfoldError> {
-    return this.notes.finish(key, run);
+    return this.updates.finish(key, run);
   }
 
-  /** Gives back an owned key that was not dispatched and never will be. */
+  /** Releases an owned key that was not dispatched and never will be. */
   release(
     key: string,
     claimOffset: number,
   ): ResultAsync<number, BanyanfoldError> {
-    return this.notes.release(key, claimOffset);
+    return this.updates.release(key, claimOffset);
   }
 
   private async claimKey(
@@ -143,13 +144,13 @@
       const read = await this.follower.readNow();
       if (read.isErr()) return refuseClaim('log-unavailable', '', read.error);
     }
-    const early = this.judgeEarly(timed);
+    const early = this.evaluateBeforeAppend(timed);
     if (early) return early;
     return this.appendClaim(timed);
   }
 
-  /** Spares the log an append whose verdict is known before. */
-  private judgeEarly({
+  /** Avoids an append when the outcome is already known. */
+  private evaluateBeforeAppend({
     key,
     keyMs,
   }: TimedKey): Result<ClaimOutcome, BanyanfoldError> | undefined {
@@ -165,7 +166,7 @@
     keyMs,
   }: TimedKey): Promise<Result<ClaimOutcome, BanyanfoldError>> {
     const nonce = this.createNonce();
-    this.own.begin(nonce, keyMs);
+    this.pendingClaims.add(nonce, keyMs);
     const {owner} = this.options;
     const record: ClaimRecord = {
       kind: 'claim',
@@ -177,20 +178,20 @@
     const offset = await this.appender.append(record);
     const read = offset.isOk()
       ? await this.follower.readThrough(offset.value)
-      : await this.lookForLost(offset.error);
-    const judged = this.own.takeJudged(nonce);
-    if (judged) return this.toOutcome(key, keyMs, judged);
+      : await this.searchForLostAppend(offset.error);
+    const evaluated = this.pendingClaims.takeEvaluated(nonce);
+    if (evaluated) return this.toOutcome(key, keyMs, evaluated);
     return this.abandon(nonce, offset, read);
   }
 
-  private async lookForLost(
+  private async searchForLostAppend(
     error: BanyanfoldError,
   ): Promise<Result<number, BanyanfoldError>> {
     if (error.code !== 'append-unknown') return err(error);
     return this.follower.readNow();
   }
 
-  /** From here on the claim never dispatches, even if it arrives later. */
+  /** An abandoned claim never dispatches, even if it is appended later. */
   private abandon(
     nonce: string,
     offset: Result<number, BanyanfoldError>,
@@ -198,10 +199,10 @@
   ): Result<ClaimOutcome, BanyanfoldError> {
     const error = offset.isErr() ? offset.error : undefined;
     if (error && error.code !== 'append-unknown') {
-      this.own.forget(nonce);
+      this.pendingClaims.remove(nonce);
       return refuseClaim('log-unavailable', error.message, error);
     }
-    this.own.abandon(nonce);
+    this.pendingClaims.abandon(nonce);
     if (read.isErr()) {
       return refuseClaim('claim-unknown', read.error.message, read.error);
     }
@@ -218,12 +219,16 @@
         verdict: Extract<ClaimVerdict, {kind: K}>,
       ) => Result<ClaimOutcome, BanyanfoldError>;
     } = {
-      refused: ({code}) => refuseClaim(code, 'by the time of its append'),
+      refused: ({code}) =>
+        refuseClaim(code, 'outside the claim window at its append'),
       taken: () => ok(this.toTaken(this.fold.stateOf(key))),
       owner: owned => {
-        if (this.hasSeenAllOf(keyMs)) return ok(owned);
+        if (this.hasSeenAllClaimsOf(keyMs)) return ok(owned);
         void this.release(key, offset);
-        return refuseClaim('key-too-old', 'an earlier claim may be forgotten');
+        return refuseClaim(
+          'key-too-old',
+          'an earlier claim may have been trimmed',
+        );
       },
     };
     const handler = handlers[verdict.kind] as (
@@ -232,9 +237,9 @@
     return handler(verdict);
   }
 
-  /** Whether no earlier claim of the key can have escaped this fold. */
-  private hasSeenAllOf(keyMs: number): boolean {
-    return this.unseen.hasSeenSince(keyMs - this.window.maxAheadMs);
+  /** Whether this fold cannot have missed an earlier claim of the key. */
+  private hasSeenAllClaimsOf(keyMs: number): boolean {
+    return this.missedRecords.hasSeenAllSince(keyMs - this.window.maxAheadMs);
   }
 
   private toTaken(state: KeyState | undefined): ClaimOutcome {
@@ -246,18 +251,18 @@
   }
 
   private applyPage(page: DeliveredPage): void {
-    this.unseen.note(page);
+    this.missedRecords.recordPage(page);
     for (const record of page.records) {
-      const judged = this.fold.apply(record);
-      if (judged) this.noteJudged(judged);
+      const evaluated = this.fold.apply(record);
+      if (evaluated) this.releaseIfAbandoned(evaluated);
     }
     this.fold.dropExpired(page.nowMs);
-    this.own.dropForgotten(page.nowMs);
+    this.pendingClaims.dropExpired(page.nowMs);
   }
 
-  private noteJudged(judged: EvaluatedClaim): void {
-    if (!this.own.noteJudged(judged)) return;
-    const {offset, claim} = judged;
+  private releaseIfAbandoned(evaluated: EvaluatedClaim): void {
+    if (!this.pendingClaims.recordEvaluated(evaluated)) return;
+    const {offset, claim} = evaluated;
     this.options.logger.info('late-claim-released', {claimOffset: offset});
     void this.release(claim.key, offset);
   }
--- a/packages/banyanfold-log/src/keyClaimsTypes.ts
+++ b/packages/banyanfold-log/src/keyClaimsTypes.ts
@@ -8,11 +8,15 @@
   clock: Clock;
   logger: Logger;
   random: () => number;
-  /** Names this process, not its VM: a new one for each start. */
+  /**
+   * Identifies this process rather than its VM; unique for each process start.
+   */
   owner: string;
-  /** How long the log keeps a record, at least. */
+  /** The minimum time for which the log keeps a record. */
   retentionMs: number;
-  /** Larger bodies aren't kept; a second caller gets the status alone. */
+  /**
+   * Larger bodies are not stored, and a second caller receives only the status.
+   */
   bodyLimitBytes?: number;
   lingerMs?: number;
   createNonce?(): string;
@@ -20,7 +24,7 @@
 
 export const DEFAULT_BODY_LIMIT_BYTES = 16 * 1024;
 
-/** What came of a claim. Only `owner` may dispatch. */
+/** The outcome of a claim. Only an `owner` may dispatch the request. */
 export type ClaimOutcome =
   | {kind: 'owner'; claimOffset: number}
   | {kind: 'taken'; finished?: FinishedRun | undefined; ownedBySelf: boolean};
--- a/packages/banyanfold-log/src/keyExpiry.ts
+++ b/packages/banyanfold-log/src/keyExpiry.ts
@@ -3,12 +3,12 @@
 const BUCKETS_PER_HORIZON = 64;
 
 /**
- * Tells which keys can be forgotten: those that no claim can own any more.
- * Keys are kept in buckets by time, so that dropping them costs no search.
+ * Finds the keys that can be dropped because no claim can own them any more.
+ * Keys are grouped into buckets by time, so that whole buckets expire at once.
  *
- * The log's clock may step back a little, for instance when another machine
- * takes the log over. A key dropped too early could be owned again, so keys
- * are kept for `maxAheadMs` longer than the horizon.
+ * The log's clock may step back slightly, for example when another machine
+ * takes over the log. A key that was dropped too early could be owned again, so
+ * keys are kept for `maxAheadMs` longer than the horizon.
  */
 export class KeyExpiry {
   private readonly buckets = new Map<number, string[]>();
--- a/packages/banyanfold-log/src/keyTime.ts
+++ b/packages/banyanfold-log/src/keyTime.ts
@@ -4,16 +4,17 @@
 const TIME_HEX_DIGITS = 12;
 const HEX = 16;
 
-/** An idempotency key in its one spelling, and the time it was made. */
+/** A normalized idempotency key and its creation time. */
 export interface TimedKey {
   key: string;
-  /** By the clock of whoever made the key. */
+  /** The creation time by the clock of the client that created the key. */
   keyMs: number;
 }
 
 /**
- * Reads a UUIDv7; undefined when it is none. Upper case is the same key, so
- * it is folded to lower case: two spellings must not become two runs.
+ * Parses a UUIDv7, or returns undefined for any other text. The key is
+ * converted to lower case, so that two spellings of one key do not lead to two
+ * runs.
  *
  * @example parseTimedKey('0190d9a2-7b00-7000-8000-000000000000')?.keyMs
  */
--- a/packages/banyanfold-log/src/plannerFold.ts
+++ b/packages/banyanfold-log/src/plannerFold.ts
@@ -4,7 +4,7 @@
 import {appendOnce} from './appendOnce.js';
 import {STREAMS, type LogRecord, type LogService} from './types.js';
 
-/** Says which entry plans from now on. */
+/** Names the entry that is the planner from this record on. */
 export const plannerRecordSchema = z.object({
   kind: z.literal('planner'),
   vmId: z.string(),
@@ -12,14 +12,14 @@
 });
 
 export interface PlannerState {
-  /** The offset of the planner's record. */
+  /** The offset of the planner's record in the stream. */
   epoch: number;
   vmId: string;
 }
 
 /**
- * Folds the `planner` stream: the record with the highest offset names the
- * planner. Trimmed records change nothing, for only the last one counts.
+ * Folds the `planner` stream. The record with the highest offset names the
+ * planner, so trimmed records have no effect on the result.
  *
  * @example
  * fold.apply(record);
@@ -42,15 +42,16 @@
 export interface PlannerClaimOptions {
   log: LogService;
   vmId: string;
-  /** A new one for each try, for example a random UUID. */
+  /** Unique for each attempt, for example a random UUID. */
   nonce: string;
 }
 
 /**
- * Becomes the planner. A planner that was replaced and doesn't know it costs
- * moves at most: agents refuse an epoch lower than one they have seen.
+ * Makes this VM the planner. A replaced planner that is not yet aware of it can
+ * at most cost moves, because agents refuse an epoch lower than one they have
+ * seen.
  *
- * @returns the epoch, or `log-unavailable`, `append-unknown`.
+ * @returns the epoch, or the error `log-unavailable` or `append-unknown`.
  * @example
  * const epoch = await claimPlanner({log, vmId, nonce: randomUUID()});
  */
--- a/packages/banyanfold-log/src/refuseClaim.ts
+++ b/packages/banyanfold-log/src/refuseClaim.ts
@@ -4,7 +4,9 @@
 
 const PLACE = {step: 'claim-key', peer: 'log'} as const;
 
-/** Refuses a claim; the step and the peer are those of the cause, if any. */
+/**
+ * Creates the error of a refused claim, with the cause's step and peer if any.
+ */
 export function refuseClaim(
   code: ClaimErrorCode,
   message: string,
--- a/packages/banyanfold-log/src/rendezvousOrder.ts
+++ b/packages/banyanfold-log/src/rendezvousOrder.ts
@@ -1,8 +1,8 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Orders ids by rendezvous hashing: everyone gets the same order for a key,
- * and when an id goes, only the keys that it was first for change hands.
+ * Orders ids by rendezvous hashing. All callers compute the same order for a
+ * key, and when an id is removed, only the keys that it was first for move.
  *
  * @example rendezvousOrder('planner', ['entry-1', 'entry-2'])[0]
  */
@@ -13,7 +13,7 @@
     .map(({id}) => id);
 }
 
-/** JSON keeps ('a', 'bc') apart from ('ab', 'c'). */
+/** JSON encoding distinguishes ('a', 'bc') from ('ab', 'c'). */
 function hashOf(key: string, id: string): string {
   const text = JSON.stringify([key, id]);
   return createHash('sha256').update(text).digest('hex');
--- a/packages/banyanfold-log/src/retirementFold.ts
+++ b/packages/banyanfold-log/src/retirementFold.ts
@@ -1,17 +1,21 @@
 import {z} from 'zod';
 import type {LogRecord} from './types.js';
 
-/** Asks to retire one copy of an artifact, relying on others of it. */
+/**
+ * Requests the retirement of one copy of an artifact, relying on other copies.
+ */
 export const retireRecordSchema = z.object({
   kind: z.literal('retire'),
   copyId: z.string(),
   artifact: z.string(),
   vmId: z.string(),
   reliesOnCopyIds: z.array(z.string()),
-  /** The artifact is published no more: nothing has to remain of it. */
+  /**
+   * Whether the artifact is no longer published, so that no copy has to remain.
+   */
   isUnpublished: z.boolean().default(false),
   nonce: z.string(),
-  /** When the relied-on copies were seen as held, by the log's clock. */
+  /** When the relied-on copies were last seen as held, by the log's clock. */
   viewedAtMs: z.number(),
 });
 
@@ -22,9 +26,9 @@
   | {kind: 'void'; why: 'already-retired' | 'relies-on-none' | 'old-view'};
 
 export interface RetirementFoldOptions {
-  /** A view older than this when its record is appended is void. */
+  /** A record whose view is older than this at its append is void. */
   maxViewAgeMs?: number;
-  /** How long a retirement is remembered; less than the log's retention. */
+  /** How long a retirement is kept in memory. Less than the log's retention. */
   memoryMs?: number;
 }
 
@@ -39,24 +43,24 @@
 }
 
 /**
- * Folds the `retirements` stream: a copy may go only if, at its place in the
- * log, one of the copies it relies on has not been retired.
+ * Folds the `retirements` stream. A copy is retired only if, at the offset of
+ * its record, at least one of the copies that it relies on is not retired.
  *
- * Why two, three or n at once can't retire all copies: suppose all copies of
- * an artifact were retired, and take the last record accepted. It relied on a
- * copy other than its own that was not retired before it. That copy, like all,
- * is retired, so its record comes later, and the one taken was not the last.
- * Copies of an artifact that is published no more rely on none; should it be
- * published again, it is an orphan and is loaded like a new one.
+ * Concurrent requests cannot retire all copies of an artifact. Suppose that all
+ * copies were retired, and consider the last accepted record. It relied on
+ * another copy that was not retired before it. Since that copy is also retired,
+ * its record is later, which contradicts the assumption. Copies of an artifact
+ * that is no longer published rely on none. If the artifact is published again,
+ * it is an orphan and is loaded like a new artifact.
  *
- * A retirement is remembered for `memoryMs`, so that every reader whose log
- * reaches that far back decides alike. A process that was paused for longer
- * could rely on a copy whose retirement is forgotten; its view is too old by
- * then, and the record is void.
+ * A retirement is kept for `memoryMs`, so that all readers whose log reaches
+ * that far back reach the same verdicts. A process that was paused for longer
+ * could rely on a copy whose retirement was dropped. By then its view is too
+ * old, and the record is void.
  *
  * @example
- * const judged = fold.apply(record);
- * if (judged?.verdict.kind === 'accepted') unload(judged.record.copyId);
+ * const evaluated = fold.apply(record);
+ * if (evaluated?.verdict.kind === 'accepted') unload(evaluated.record.copyId);
  */
 export class RetirementFold {
   private readonly retired = new Map<string, Retired>();
@@ -72,25 +76,25 @@
     this.memoryMs = memoryMs;
   }
 
-  /** Takes in the next record; the verdict when it asks for a retirement. */
+  /** Applies the next record and returns the verdict if it is a retirement. */
   apply({
     appendedAtMs,
     value,
   }: LogRecord): {record: RetireRecord; verdict: RetireVerdict} | undefined {
-    this.dropOld(appendedAtMs);
+    this.dropExpired(appendedAtMs);
     const parsed = retireRecordSchema.safeParse(value);
     if (!parsed.success) return undefined;
     const record = parsed.data;
-    const verdict = this.judge(record, appendedAtMs);
+    const verdict = this.evaluate(record, appendedAtMs);
     return {record, verdict};
   }
 
-  /** Whether the retirement of a copy was accepted and is remembered. */
+  /** Whether the retirement of a copy was accepted and is still in memory. */
   isRetired(copyId: string): boolean {
     return this.retired.has(copyId);
   }
 
-  private judge(record: RetireRecord, appendedAtMs: number): RetireVerdict {
+  private evaluate(record: RetireRecord, appendedAtMs: number): RetireVerdict {
     const {copyId, nonce, reliesOnCopyIds, isUnpublished, viewedAtMs} = record;
     const known = this.retired.get(copyId);
     if (known?.nonce === nonce) return {kind: 'accepted'};
@@ -108,8 +112,8 @@
     return {kind: 'accepted'};
   }
 
-  /** The map is in the order of retirement, so the oldest come first. */
-  private dropOld(nowMs: number): void {
+  /** The map is in order of retirement, so the oldest entries come first. */
+  private dropExpired(nowMs: number): void {
     for (const [copyId, {retiredAtMs}] of this.retired) {
       if (retiredAtMs >= nowMs - this.memoryMs) return;
       this.retired.delete(copyId);
--- a/packages/banyanfold-log/src/retirements.ts
+++ b/packages/banyanfold-log/src/retirements.ts
@@ -11,7 +11,7 @@
 } from './retirementFold.js';
 import {StreamFollower, type DeliveredPage} from './streamFollower.js';
 import {STREAMS, type LogService} from './types.js';
-import {UnseenRecords} from './unseenRecords.js';
+import {MissedRecords} from './missedRecords.js';
 
 export interface RetirementsOptions extends RetirementFoldOptions {
   log: LogService;
@@ -19,7 +19,7 @@
   logger: Logger;
   random: () => number;
   vmId: string;
-  /** How long the log keeps a record, at least. */
+  /** The minimum time for which the log keeps a record. */
   retentionMs: number;
   createNonce?(): string;
 }
@@ -27,19 +27,19 @@
 export interface RetireRequest {
   copyId: string;
   artifact: string;
-  /** Copies of the same artifact on other backend servers, seen as held. */
+  /** Copies of the same artifact that other backend servers report as held. */
   reliesOnCopyIds: readonly string[];
-  /** Whether the configuration, read just now, has the artifact no more. */
+  /** Whether the latest configuration no longer contains the artifact. */
   isUnpublished?: boolean;
-  /** When they were seen, by the log's clock; now when left out. */
+  /** When these copies were seen, by the log's clock. Defaults to now. */
   viewedAtMs?: number;
 }
 
 const PLACE = {step: 'retire-copy', peer: 'log'} as const;
 
 /**
- * Asks the log whether a copy may go, so that copies retired at the same time
- * on several backend servers never leave an artifact without any.
+ * Retires copies through the log, so that concurrent retirements on several
+ * backend servers never leave an artifact without a copy.
  *
  * @example
  * const verdict = await retirements.retireCopy({copyId, artifact,
@@ -48,15 +48,15 @@
  */
 export class Retirements {
   private readonly fold: RetirementFold;
-  private readonly unseen: UnseenRecords;
+  private readonly missedRecords: MissedRecords;
   private readonly follower: StreamFollower;
-  private readonly awaited = new Map<string, RetireVerdict | undefined>();
+  private readonly pending = new Map<string, RetireVerdict | undefined>();
 
   /** @throws BanyanfoldError `retirement-memory-too-long`. */
   constructor(private readonly options: RetirementsOptions) {
-    assertMemoryFits(options);
+    assertMemoryFitsRetention(options);
     this.fold = new RetirementFold(options);
-    this.unseen = new UnseenRecords(options.retentionMs);
+    this.missedRecords = new MissedRecords(options.retentionMs);
     const {log, clock, logger, random} = options;
     this.follower = new StreamFollower({
       log,
@@ -76,22 +76,24 @@
     this.follower.stop();
   }
 
-  /** Resolves once the whole stream was folded for the first time. */
+  /** Resolves when the fold first reaches the end of the stream. */
   caughtUp(): Promise<void> {
     return this.follower.caughtUp();
   }
 
-  /** Whether a copy may be unloaded; a copy that may must not be relied on. */
+  /**
+   * Whether a copy is retired. It may be unloaded and must not be relied on.
+   */
   isRetired(copyId: string): boolean {
     return this.fold.isRetired(copyId);
   }
 
   /**
-   * Asks for the retirement of a copy. Only `accepted` permits the unload. On
-   * an error the copy stays; if its record arrives later, the copy counts as
-   * retired for others, who then keep theirs, which is on the safe side.
+   * Requests the retirement of a copy. Only `accepted` permits the unload. On
+   * an error the copy must be kept. If its record is appended later, the other
+   * backend servers treat the copy as retired and keep theirs, which is safe.
    *
-   * @returns the verdict, or `log-unavailable`, or `append-unknown`.
+   * @returns the verdict, or the error `log-unavailable` or `append-unknown`.
    */
   retireCopy(
     request: RetireRequest,
@@ -104,11 +106,13 @@
   ): Promise<Result<RetireVerdict, BanyanfoldError>> {
     const viewedAtMs = request.viewedAtMs ?? this.follower.logNowMs;
     if (viewedAtMs === undefined) {
-      return err(this.fail('log-unavailable', 'the log was not read yet'));
+      return err(
+        this.toError('log-unavailable', 'the log has not been read yet'),
+      );
     }
     const nonce = (this.options.createNonce ?? uuidV4)();
-    this.awaited.set(nonce, undefined);
-    const verdict = await this.appendAndJudge({
+    this.pending.set(nonce, undefined);
+    const verdict = await this.appendAndEvaluate({
       kind: 'retire',
       copyId: request.copyId,
       artifact: request.artifact,
@@ -118,11 +122,11 @@
       nonce,
       viewedAtMs,
     });
-    this.awaited.delete(nonce);
+    this.pending.delete(nonce);
     return verdict;
   }
 
-  private async appendAndJudge(
+  private async appendAndEvaluate(
     value: RetireRecord,
   ): Promise<Result<RetireVerdict, BanyanfoldError>> {
     const {log} = this.options;
@@ -134,35 +138,37 @@
     });
     if (offset.isErr()) return err(offset.error);
     const read = await this.follower.readThrough(offset.value);
-    if (read.isErr()) return err(this.fail('append-unknown', 'not judged'));
-    const verdict = this.awaited.get(value.nonce);
-    if (verdict && this.hasSeenMemoryOf(value.viewedAtMs)) return ok(verdict);
-    return err(this.fail('append-unknown', 'earlier records were trimmed'));
+    if (read.isErr()) return err(this.toError('append-unknown', 'no verdict'));
+    const verdict = this.pending.get(value.nonce);
+    if (verdict && this.hasFullHistory(value.viewedAtMs)) return ok(verdict);
+    return err(this.toError('append-unknown', 'earlier records were trimmed'));
   }
 
-  /** Whether no retirement that the record must heed escaped this fold. */
-  private hasSeenMemoryOf(viewedAtMs: number): boolean {
+  /** Whether this fold has read every retirement that affects the record. */
+  private hasFullHistory(viewedAtMs: number): boolean {
     const {memoryMs = DEFAULT_RETIREMENT_OPTIONS.memoryMs} = this.options;
-    return this.unseen.hasSeenSince(viewedAtMs - memoryMs);
+    return this.missedRecords.hasSeenAllSince(viewedAtMs - memoryMs);
   }
 
   private applyPage(page: DeliveredPage): void {
-    this.unseen.note(page);
+    this.missedRecords.recordPage(page);
     for (const record of page.records) {
-      const judged = this.fold.apply(record);
-      if (!judged) continue;
-      const {nonce} = judged.record;
-      if (this.awaited.has(nonce)) this.awaited.set(nonce, judged.verdict);
+      const evaluated = this.fold.apply(record);
+      if (!evaluated) continue;
+      const {nonce} = evaluated.record;
+      if (this.pending.has(nonce)) this.pending.set(nonce, evaluated.verdict);
     }
   }
 
-  private fail(code: string, message: string): BanyanfoldError {
+  private toError(code: string, message: string): BanyanfoldError {
     return new BanyanfoldError(code, message, PLACE);
   }
 }
 
-/** A newcomer must be able to read all that the others remember. */
-function assertMemoryFits({
+/**
+ * A new reader must be able to read all retirements that others hold in memory.
+ */
+function assertMemoryFitsRetention({
   memoryMs = DEFAULT_RETIREMENT_OPTIONS.memoryMs,
   maxViewAgeMs = DEFAULT_RETIREMENT_OPTIONS.maxViewAgeMs,
   retentionMs,
--- a/packages/banyanfold-log/src/retryBudget.ts
+++ b/packages/banyanfold-log/src/retryBudget.ts
@@ -2,9 +2,11 @@
 
 export interface RetryBudgetOptions {
   clock: Clock;
-  /** Retries earned by each first attempt. */
+  /** Retries added by each first attempt. */
   tokensPerAttempt: number;
-  /** Retries earned by time alone, so that a quiet process may retry too. */
+  /**
+   * Retries added over time, so that a process with little traffic can retry.
+   */
   tokensPerSecond: number;
   capacity: number;
 }
@@ -18,9 +20,9 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * A token bucket that bounds retries to a share of the attempts. Without it,
- * when everything fails, each request is tried again as often as it may be,
- * and the load multiplies just when there is no room for it.
+ * A token bucket that limits retries to a share of the attempts. Without it,
+ * each request is retried up to its limit when all attempts fail, which
+ * multiplies the load during an overload.
  *
  * @example
  * const budget = new RetryBudget({clock});
@@ -40,19 +42,19 @@
     this.filledAtMs = this.options.clock.nowMs();
   }
 
-  /** Called for each first attempt. */
+  /** Adds tokens to the budget. To be called for each first attempt. */
   recordAttempt(): void {
     this.refill();
     this.add(this.options.tokensPerAttempt);
   }
 
-  /** Whole retries that are left. */
+  /** The number of whole retries left. */
   get available(): number {
     this.refill();
     return Math.floor(this.tokens);
   }
 
-  /** Takes a retry out of the budget, or says that there is none. */
+  /** Takes one retry from the budget. Returns false if none is left. */
   tryTake(): boolean {
     this.refill();
     if (this.tokens < 1) return false;
--- a/packages/banyanfold-log/src/streamFollower.ts
+++ b/packages/banyanfold-log/src/streamFollower.ts
@@ -8,20 +8,20 @@
 import {Backoff, type BackoffOptions} from './backoff.js';
 import type {LogPage, LogRecord, LogService, StreamName} from './types.js';
 
-/** Records that a reader will never see: trimmed before it read them. */
+/** A range of records that were trimmed before the reader read them. */
 export interface Gap {
   fromOffset: number;
   /** The first offset that can still be read. */
   toOffset: number;
 }
 
-/** What is new to the follower, in offset order, each record once. */
+/** New records in offset order. Each record is delivered once. */
 export interface DeliveredPage {
   records: readonly LogRecord[];
   gap: Gap | undefined;
   /** The oldest offset that the log retains. */
   firstOffset: number;
-  /** The log's clock. */
+  /** The log's current time. */
   nowMs: number;
 }
 
@@ -31,18 +31,18 @@
   clock: Clock;
   logger: Logger;
   random: () => number;
-  /** Where reading begins; 1, the first offset there is, when left out. */
+  /** The offset to start from. Defaults to 1, the lowest offset. */
   fromOffset?: number;
   pageLimit?: number;
-  /** How long the log may hold a poll while it has nothing new. */
+  /** How long the log may hold a long poll without new records. */
   waitMs?: number;
   /**
-   * The least time between polls: under a steady flow of records each poll
-   * is answered at once, and one poll for each record would swamp the log.
+   * The minimum time between polls. Under steady traffic the log responds to
+   * each poll at once, and one poll per record would overload the log.
    */
   minPollIntervalMs?: number;
   backoff?: Partial<Omit<BackoffOptions, 'random'>>;
-  /** Called for each page that isn't empty, has a gap, or is the first. */
+  /** Called for each page that has records or a gap, and until caught up. */
   onPage(page: DeliveredPage): void;
 }
 
@@ -54,9 +54,10 @@
 } as const;
 
 /**
- * Follows a stream of the log: long polls, one in flight, with full jitter
- * between tries while the log is out. `readNow` reads beside the long poll,
- * which may be held at the log; pages that overlap are told apart by offset.
+ * Follows a stream of the log with one long poll in flight, and retries with
+ * full jitter while the log is unavailable. `readNow` reads concurrently with
+ * the long poll, which the log may hold. Overlapping pages are deduplicated by
+ * offset.
  *
  * @example
  * const follower = new StreamFollower({log, stream: 'claims', clock, logger,
@@ -75,7 +76,7 @@
   private readonly caughtUpPromise: Promise<void>;
   private resolveCaughtUp: () => void = () => {};
   private logClock: {readAtMs: number; nowMs: number} | undefined;
-  private presentRead: Promise<Result<number, BanyanfoldError>> | undefined;
+  private activeRead: Promise<Result<number, BanyanfoldError>> | undefined;
   private queuedRead: Promise<Result<number, BanyanfoldError>> | undefined;
 
   constructor(options: StreamFollowerOptions) {
@@ -90,19 +91,21 @@
     });
   }
 
-  /** The offset that is read next; all before it were handed on. */
+  /** The next offset to read. All records before it were delivered. */
   get position(): number {
     return this.nextOffset;
   }
 
-  /** The log's clock now, as far as the last answer tells; undefined before. */
+  /**
+   * The log's current time, estimated from the last page; undefined before it.
+   */
   get logNowMs(): number | undefined {
     if (!this.logClock) return undefined;
     const {nowMs, readAtMs} = this.logClock;
     return nowMs + (this.options.clock.nowMs() - readAtMs);
   }
 
-  /** Whether the end of the log was reached once. */
+  /** Whether the follower has reached the end of the log at least once. */
   get hasCaughtUp(): boolean {
     return this.isCaughtUp;
   }
@@ -114,34 +117,34 @@
     void this.poll(this.pollAbort.signal);
   }
 
-  /** Stops polling and gives up a poll in flight. */
+  /** Stops polling and aborts a poll in flight. */
   stop(): void {
     this.isRunning = false;
     this.pollAbort.abort();
   }
 
-  /** Resolves once the end of the log was reached for the first time. */
+  /** Resolves when the follower first reaches the end of the log. */
   caughtUp(): Promise<void> {
     return this.caughtUpPromise;
   }
 
   /**
-   * Reads through the end of the log as it was at the call or later.
+   * Reads up to the end of the log as of the call or later.
    *
-   * @returns the position then, or `log-unavailable`.
+   * @returns the position after the read, or the error `log-unavailable`.
    */
   readNow(): ResultAsync<number, BanyanfoldError> {
-    // A read in flight may have been answered before the call, so it can't be
-    // shared; the next one, which hasn't begun, can.
-    if (!this.presentRead) return new ResultAsync(this.beginPresentRead());
-    this.queuedRead ??= this.presentRead.then(() => {
+    // A read in flight may reflect an older end of the log, so only the queued
+    // read, which has not started yet, can be shared.
+    if (!this.activeRead) return new ResultAsync(this.startRead());
+    this.queuedRead ??= this.activeRead.then(() => {
       this.queuedRead = undefined;
-      return this.beginPresentRead();
+      return this.startRead();
     });
     return new ResultAsync(this.queuedRead);
   }
 
-  /** Like `readNow`, but done at once when `offset` was handed on already. */
+  /** Like `readNow`, but resolves at once if `offset` was already delivered. */
   readThrough(offset: number): ResultAsync<number, BanyanfoldError> {
     if (this.nextOffset > offset) {
       return new ResultAsync(Promise.resolve(ok(this.nextOffset)));
@@ -149,11 +152,11 @@
     return this.readNow();
   }
 
-  private beginPresentRead(): Promise<Result<number, BanyanfoldError>> {
+  private startRead(): Promise<Result<number, BanyanfoldError>> {
     const read = this.readToEnd().finally(() => {
-      if (this.presentRead === read) this.presentRead = undefined;
+      if (this.activeRead === read) this.activeRead = undefined;
     });
-    this.presentRead = read;
+    this.activeRead = read;
     return read;
   }
 
@@ -163,7 +166,7 @@
       const page = await this.read(0);
       if (page.isErr()) return err(page.error);
       endOffset ??= page.value.nextOffset;
-      this.handOn(page.value);
+      this.deliver(page.value);
       if (this.nextOffset >= endOffset) return ok(this.nextOffset);
     }
   }
@@ -175,7 +178,7 @@
       if (signal.aborted) return;
       if (page.isOk()) {
         this.backoff.reset();
-        this.handOn(page.value);
+        this.deliver(page.value);
         if (this.isCaughtUp) await sleep(clock, minPollIntervalMs);
         continue;
       }
@@ -196,21 +199,21 @@
     return log.read(stream, signal ? {...range, signal} : range);
   }
 
-  private handOn(page: LogPage): void {
+  private deliver(page: LogPage): void {
     const {clock, logger, stream} = this.options;
     this.logClock = {readAtMs: clock.nowMs(), nowMs: page.nowMs};
-    const gap = this.gapBefore(page);
+    const gap = this.findGap(page);
     const records = page.records.filter(
       ({offset}) => offset >= this.nextOffset,
     );
-    const isFirst = !this.isCaughtUp;
+    const isCatchingUp = !this.isCaughtUp;
     this.nextOffset = Math.max(
       this.nextOffset,
       page.firstOffset,
       (records.at(-1)?.offset ?? 0) + 1,
     );
     if (gap) logger.warn('log-gap', {stream, ...gap});
-    if (records.length > 0 || gap || isFirst) {
+    if (records.length > 0 || gap || isCatchingUp) {
       const {firstOffset, nowMs} = page;
       this.options.onPage({records, gap, firstOffset, nowMs});
     }
@@ -219,7 +222,7 @@
     this.resolveCaughtUp();
   }
 
-  private gapBefore(page: LogPage): Gap | undefined {
+  private findGap(page: LogPage): Gap | undefined {
     if (page.firstOffset <= this.nextOffset) return undefined;
     return {fromOffset: this.nextOffset, toOffset: page.firstOffset};
   }
--- a/packages/banyanfold-log/src/types.ts
+++ b/packages/banyanfold-log/src/types.ts
@@ -25,7 +25,7 @@
 export type LogPage = z.infer<typeof logPageSchema>;
 export type AppendResponse = z.infer<typeof appendResponseSchema>;
 
-/** Streams of the platform's log that the system uses. */
+/** The streams of the platform log that the system uses. */
 export const STREAMS = {
   config: 'config',
   fences: 'fences',
@@ -36,19 +36,22 @@
 
 export type StreamName = (typeof STREAMS)[keyof typeof STREAMS];
 
-/** What to read, and how long the log may wait for something new. */
+/**
+ * The range to read, and how long the log may hold the call without new
+ * records.
+ */
 export interface ReadOptions {
   fromOffset: number;
   limit?: number;
   waitMs?: number;
-  /** Gives up a read in flight. */
+  /** Aborts a read in flight. */
   signal?: AbortSignal;
 }
 
 /**
- * The platform's log. Errors have the codes `log-unavailable` (nothing was
- * appended, or nothing could be read) and `append-unknown` (the answer was
- * lost; the records may or may not be in the log).
+ * Client of the platform log. Errors have the code `log-unavailable` (nothing
+ * was appended, or nothing could be read) or `append-unknown` (the response was
+ * lost, and the records may or may not be in the log).
  */
 export interface LogService {
   append(
@@ -79,7 +82,10 @@
 export type Vm = z.infer<typeof vmSchema>;
 export type VmList = z.infer<typeof vmListSchema>;
 
-/** The platform's list of VMs; it lags. Error code `vm-list-unavailable`. */
+/**
+ * Client of the platform's VM list, which may be stale. Errors have the code
+ * `vm-list-unavailable`.
+ */
 export interface VmListService {
   read(): ResultAsync<VmList, BanyanfoldError>;
 }
