--- a/packages/banyanfold-gateway/src/requests/requestHandler.ts
+++ b/packages/banyanfold-gateway/src/requests/requestHandler.ts
@@ -191,7 +191,7 @@
       context.demand.recordArrival({model, adapter, urgency, ...tokens});
       context.workForecast.note(model, this.requestWork.work.prefill);
     }
-    context.retryBudgetOf(this.service).noteAttempt();
+    context.retryBudgetOf(this.service).recordAttempt();
     if (this.admissionChecks.outlastsDrain) return this.refuse('leaving');
     const leftMs = this.deadlineMs - context.clock.nowMs();
     this.deadlineTimer = context.clock.setTimer(leftMs, () =>
