--- a/packages/banyanfold-entry/src/__tests__/demandMeter.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/demandMeter.test.ts
@@ -6,9 +6,9 @@
   // as new they would look like a burst, and models would move for it.
   it('takes no demand from what was counted before it looked', () => {
     const meter = new DemandMeter(1_000);
-    meter.close(0);
-    meter.noteMisses('entry-2', {'claims@1': 5_000});
-    meter.close(1_000);
+    meter.endWindow(0);
+    meter.recordMisses('entry-2', {'claims@1': 5_000});
+    meter.endWindow(1_000);
     expect(meter.demandPerSecond('claims@1')).toBe(0);
     expect(meter.takeMisses().size).toBe(0);
   });
@@ -16,12 +16,12 @@
   it('comes near a steady rate and forgets it again', () => {
     const meter = new DemandMeter(1_000);
     const rates: number[] = [];
-    meter.close(0);
-    meter.noteMisses('entry-2', {});
+    meter.endWindow(0);
+    meter.recordMisses('entry-2', {});
     for (let second = 1; second <= 12; second++) {
       const count = Math.min(second, 6) * 10;
-      meter.noteMisses('entry-2', {'claims@1': count});
-      meter.close(second * 1_000);
+      meter.recordMisses('entry-2', {'claims@1': count});
+      meter.endWindow(second * 1_000);
       meter.takeMisses();
       rates.push(Math.round(meter.demandPerSecond('claims@1') * 100) / 100);
     }
@@ -47,10 +47,10 @@
   // one refusal would look like demand without end once it begins to plan.
   it('counts a miss in one window, whether or not it is taken', () => {
     const meter = new DemandMeter(1_000);
-    meter.close(0);
-    meter.noteMisses('entry-1', {});
-    meter.noteMisses('entry-1', {'claims@1': 8});
-    for (let second = 1; second <= 4; second++) meter.close(second * 1_000);
+    meter.endWindow(0);
+    meter.recordMisses('entry-1', {});
+    meter.recordMisses('entry-1', {'claims@1': 8});
+    for (let second = 1; second <= 4; second++) meter.endWindow(second * 1_000);
     expect(meter.demandPerSecond('claims@1')).toBe(0.5);
     expect(meter.takeMisses().get('claims@1')).toBe(8);
   });
@@ -59,18 +59,18 @@
   // decides before it closes the next.
   it('keeps misses for the rate when they are taken before', () => {
     const meter = new DemandMeter(1_000);
-    meter.close(0);
-    meter.noteMisses('entry-2', {});
-    meter.noteMisses('entry-2', {'claims@1': 8});
+    meter.endWindow(0);
+    meter.recordMisses('entry-2', {});
+    meter.recordMisses('entry-2', {'claims@1': 8});
     expect(meter.takeMisses().get('claims@1')).toBe(8);
-    meter.close(1_000);
+    meter.endWindow(1_000);
     expect(meter.demandPerSecond('claims@1')).toBe(4);
   });
 
   it('counts on from nothing when the source has restarted', () => {
     const meter = new DemandMeter(1_000);
-    meter.noteMisses('entry-2', {'claims@1': 50});
-    meter.noteMisses('entry-2', {'claims@1': 3});
+    meter.recordMisses('entry-2', {'claims@1': 50});
+    meter.recordMisses('entry-2', {'claims@1': 3});
     expect(meter.takeMisses().get('claims@1')).toBe(3);
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/ejection.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/ejection.test.ts
@@ -4,7 +4,7 @@
 import type {EntryContext} from '../context.js';
 import {ejectionPlugin} from '../plugins/ejection.js';
 import {ClusterView} from '../view/clusterView.js';
-import {answerWhole, dieSilently} from './kit/behaviours.js';
+import {answerWhole, runThenDropConnection} from './kit/behaviours.js';
 import {eventually} from './kit/eventually.js';
 import {TestSystem, post} from './kit/testSystem.js';
 
@@ -25,20 +25,22 @@
       retry: {budgetMaxTokens: 1_000},
     });
     const [failing, ...others] = system.agents;
-    failing!.otherwise = dieSilently;
+    failing!.fallback = runThenDropConnection;
     const isEjected = async () => {
       const calls = Array.from({length: 8}, () => post(port, CHAT_PATH));
       await Promise.all(calls);
-      return system.lines.some(line => line.includes('event=runner-ejected'));
+      return system.logLines.some(line =>
+        line.includes('event=runner-ejected'),
+      );
     };
     await eventually(isEjected).toBe(true);
-    const ejections = system.lines.filter(line => line.includes('ejected'));
+    const ejections = system.logLines.filter(line => line.includes('ejected'));
     expect(ejections[0]).toContain('agent=agent-1 reason="fails ');
     failing!.calls.length = 0;
     for (let i = 0; i < 8; i++) await post(port, CHAT_PATH);
     expect(failing!.calls).toHaveLength(0);
     for (const agent of others) agent.artifacts = [];
-    failing!.otherwise = answerWhole;
+    failing!.fallback = answerWhole;
     await eventually(() => failing!.calls.length || post(port, CHAT_PATH)).toBe(
       1,
     );
--- a/packages/banyanfold-entry/src/__tests__/keys.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/keys.test.ts
@@ -3,13 +3,13 @@
 import {
   answerJson,
   answerWhole,
-  cut,
-  dieSilently,
+  dropConnection,
+  runThenDropConnection,
   refuse,
 } from './kit/behaviours.js';
 import type {AttemptCall, Behaviour} from './kit/fakeAgent.js';
 import {eventually} from './kit/eventually.js';
-import {TestSystem, post, type PlainAnswer} from './kit/testSystem.js';
+import {TestSystem, post, type HttpAnswer} from './kit/testSystem.js';
 
 const LODGE = '/services/lodging/claims';
 const HOUR_MS = 3_600_000;
@@ -27,7 +27,7 @@
   system.next.length = 0;
   system.nextResumes.length = 0;
   for (const agent of system.agents) {
-    agent.otherwise = lodge;
+    agent.fallback = lodge;
     agent.sealState = 'started';
   }
   system.takeCounts();
@@ -42,17 +42,17 @@
 function lodgeWith(
   key: string | undefined,
   {entry = 0, body = '{"claim":1}'} = {},
-): Promise<PlainAnswer> {
+): Promise<HttpAnswer> {
   const headers: Record<string, string> = key ? {'idempotency-key': key} : {};
   return post(ports[entry]!, LODGE, {headers, body});
 }
 
-const short = ({status, outcome, code, text}: PlainAnswer) =>
+const short = ({status, outcome, code, text}: HttpAnswer) =>
   status === 200 ? [status, text] : [status, outcome, code];
 
 describe('createEntry, requests that may not be repeated', () => {
   beforeAll(() => {
-    for (const agent of system.agents) agent.otherwise = lodge;
+    for (const agent of system.agents) agent.fallback = lodge;
   });
 
   it.each([
@@ -104,7 +104,7 @@
   // The agent lodges the claim and its answer is lost. It keeps the answer,
   // and the entry comes back for it instead of lodging again.
   it('fetches the kept answer when the first one was lost', async () => {
-    system.next.push(dieSilently);
+    system.next.push(runThenDropConnection);
     expect(short(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
     const {ran, calls, resumes} = system.takeCounts();
     expect([ran, calls, resumes]).toEqual([1, 1, 1]);
@@ -115,12 +115,14 @@
   it('says unknown and never runs again when the answer is gone', async () => {
     const key = uuidV7();
     for (const agent of system.agents) {
-      agent.otherwise = call =>
-        call.afterSeq === undefined ? dieSilently(call) : cut(call);
+      agent.fallback = call =>
+        call.afterSeq === undefined
+          ? runThenDropConnection(call)
+          : dropConnection(call);
     }
     const first = await lodgeWith(key);
     expect(short(first)).toEqual([502, 'unknown', 'outcome_unknown']);
-    for (const agent of system.agents) agent.otherwise = lodge;
+    for (const agent of system.agents) agent.fallback = lodge;
     await eventually(async () =>
       short(await lodgeWith(key, {entry: 1})),
     ).toEqual([409, 'unknown', 'key_outcome_unknown']);
@@ -137,7 +139,7 @@
   // that. Stopping there would refuse a claim that another agent can lodge.
   it('tries another agent when the seal proves that nothing ran', async () => {
     for (const agent of system.agents) agent.sealState = 'never-started';
-    system.next.push(cut);
+    system.next.push(dropConnection);
     system.nextResumes.push(refuse('unknown-attempt', 404, 'unknown'));
     expect(short(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
     const {ran, calls} = system.takeCounts();
@@ -157,7 +159,7 @@
     // After some tries the client of the log gives up; the entry must not, or
     // all others would call the outcome unknown for ever.
     const gaveUp = /event=claim-note-failed kind=finished .*attempt=5/;
-    await eventually(() => gaveUp.test(system.lines.join('\n'))).toBe(true);
+    await eventually(() => gaveUp.test(system.logLines.join('\n'))).toBe(true);
     system.setLogOutage('none');
     await eventually(async () =>
       short(await lodgeWith(key, {entry: 1})),
@@ -169,10 +171,10 @@
   // with it, as it was told to, must not find it taken for ever.
   it('gives back the key of a request that never ran', async () => {
     const key = uuidV7();
-    for (const agent of system.agents) agent.otherwise = refuse('busy', 429);
+    for (const agent of system.agents) agent.fallback = refuse('busy', 429);
     const refused = short(await lodgeWith(key));
     expect(refused).toEqual([503, 'not-run', 'agent_refused']);
-    for (const agent of system.agents) agent.otherwise = lodge;
+    for (const agent of system.agents) agent.fallback = lodge;
     await eventually(async () =>
       short(await lodgeWith(key, {entry: 1})),
     ).toEqual([200, RECEIPT]);
@@ -231,7 +233,7 @@
 
   it('still serves requests that may be repeated while the log is out', async () => {
     system.setLogOutage('refuse');
-    for (const agent of system.agents) agent.otherwise = answerWhole;
+    for (const agent of system.agents) agent.fallback = answerWhole;
     const answer = await post(ports[0]!, '/v1/chat/completions');
     expect(answer.status).toBe(200);
   });
@@ -240,10 +242,10 @@
   // and its answer is lost; the caller comes again, to the entry that is cut
   // off. "Not run" would make the desk tell the member that nothing was lodged.
   it('never says not-run of a key that ran through another entry', async () => {
-    const log = system.gatedLog();
+    const log = system.disconnectableLog();
     ports = [...ports.slice(0, 2), await system.startReadyEntry({}, log)];
     const key = uuidV7();
-    log.isCut = true;
+    log.isDisconnected = true;
     expect(short(await lodgeWith(key))).toEqual([200, RECEIPT]);
     const answer = await lodgeWith(key, {entry: 2});
     expect(short(answer)).toEqual([503, 'unknown', 'log_unavailable']);
--- a/packages/banyanfold-entry/src/__tests__/kit/behaviours.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/behaviours.ts
@@ -2,15 +2,18 @@
 import type {AttemptCall, Behaviour} from './fakeAgent.js';
 
 /** What every whole answer says, in three events when it is streamed. */
-export const WORDS = ['You ', 'are ', 'eligible.'];
-export const TEXT = WORDS.join('');
+export const ANSWER_CHUNKS = ['You ', 'are ', 'eligible.'];
+export const ANSWER_TEXT = ANSWER_CHUNKS.join('');
 
 /** Events of one attempt with ids, the end marker among them. */
 export function framesOf(
   call: Pick<AttemptCall, 'attemptId' | 'requestId'>,
-  words: readonly string[] = WORDS,
+  words: readonly string[] = ANSWER_CHUNKS,
 ): string[] {
-  const data = [...words.map(word => chunkOf(call.requestId, word)), '[DONE]'];
+  const data = [
+    ...words.map(word => completionChunk(call.requestId, word)),
+    '[DONE]',
+  ];
   return data.map((text, i) => frame(call.attemptId, i + 1, text));
 }
 
@@ -18,7 +21,7 @@
   return `id: ${attemptId}/${seq}\ndata: ${data}\n\n`;
 }
 
-export function chunkOf(requestId: string, content: string): string {
+export function completionChunk(requestId: string, content: string): string {
   return JSON.stringify({
     id: `chatcmpl-${requestId}`,
     object: 'chat.completion.chunk',
@@ -28,8 +31,8 @@
   });
 }
 
-export function wholeBody(requestId: string): string {
-  const message = {role: 'assistant', content: TEXT};
+export function completionBody(requestId: string): string {
+  const message = {role: 'assistant', content: ANSWER_TEXT};
   return JSON.stringify({
     id: `chatcmpl-${requestId}`,
     object: 'chat.completion',
@@ -40,7 +43,10 @@
   });
 }
 
-export function streamHead(call: AttemptCall, echo = call.attemptId): void {
+export function writeStreamHead(
+  call: AttemptCall,
+  echo = call.attemptId,
+): void {
   call.res.writeHead(200, {
     'content-type': 'text/event-stream',
     [HEADERS.attemptId]: echo,
@@ -52,7 +58,7 @@
 export const answerWhole: Behaviour = call => {
   if (call.afterSeq === undefined) call.agent.ran++;
   if (call.isStream) {
-    streamHead(call);
+    writeStreamHead(call);
     call.res.end(
       framesOf(call)
         .slice(call.afterSeq ?? 0)
@@ -60,7 +66,7 @@
     );
     return;
   }
-  answerJson(call, wholeBody(call.requestId));
+  answerJson(call, completionBody(call.requestId));
 };
 
 export function answerJson(
@@ -79,26 +85,26 @@
 }
 
 /** Sends these events after the head and goes on with `then`. */
-export function send(
+export function sendFrames(
   frames: (call: AttemptCall) => string[],
   then: (call: AttemptCall) => void = call => call.res.end(),
 ): Behaviour {
   return call => {
     call.agent.ran++;
-    streamHead(call);
+    writeStreamHead(call);
     call.res.write(frames(call).join(''), () => then(call));
   };
 }
 
 /** The connection breaks, as it does when the agent's process is killed. */
-export const cut = (call: AttemptCall): void => {
+export const dropConnection = (call: AttemptCall): void => {
   call.socket.destroy();
 };
 
 /** Dies with the request taken in and nothing answered. */
-export const dieSilently: Behaviour = call => {
+export const runThenDropConnection: Behaviour = call => {
   call.agent.ran++;
-  cut(call);
+  dropConnection(call);
 };
 
 export function refuse(
--- a/packages/banyanfold-entry/src/__tests__/kit/fakeAgent.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/fakeAgent.ts
@@ -39,7 +39,7 @@
   next: Behaviour[] = [];
   /** For the next calls that come back. */
   nextResumes: Behaviour[] = [];
-  otherwise: Behaviour = answerWhole;
+  fallback: Behaviour = answerWhole;
   sealState: SealResult['state'] = 'started';
   incarnation = 7;
   leaving = false;
@@ -161,7 +161,7 @@
       const isResume = req.method === 'GET';
       (isResume ? this.resumes : this.calls).push(call);
       const queue = isResume ? this.nextResumes : this.next;
-      (queue.shift() ?? this.otherwise)(call);
+      (queue.shift() ?? this.fallback)(call);
     });
   }
 
--- a/packages/banyanfold-entry/src/__tests__/kit/testSystem.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/testSystem.ts
@@ -128,19 +128,23 @@
    * The log as one process sees it, which can be cut off alone. A poll that is
    * open when it is cut off brings nothing any more.
    */
-  gatedLog(): LogService & {isCut: boolean} {
+  disconnectableLog(): LogService & {isDisconnected: boolean} {
     const {logService} = this;
     const place = {step: 'reach-log', peer: 'log'};
     const cut = () => new BanyanfoldError('log-unavailable', 'cut', place);
     return {
-      isCut: false,
+      isDisconnected: false,
       append(...args) {
-        return this.isCut ? errAsync(cut()) : logService.append(...args);
+        return this.isDisconnected
+          ? errAsync(cut())
+          : logService.append(...args);
       },
       read(...args) {
-        if (this.isCut) return errAsync(cut());
+        if (this.isDisconnected) return errAsync(cut());
         const page = logService.read(...args);
-        return page.andThen(value => (this.isCut ? err(cut()) : ok(value)));
+        return page.andThen(value =>
+          this.isDisconnected ? err(cut()) : ok(value),
+        );
       },
     };
   }
@@ -161,7 +165,7 @@
     return counts;
   }
 
-  get lines(): string[] {
+  get logLines(): string[] {
     return this.entries.flatMap(({logger}) => logger.lines);
   }
 
@@ -229,7 +233,7 @@
   messages: [{role: 'user' as const, content: 'Am I eligible?'}],
 };
 
-export interface PlainAnswer {
+export interface HttpAnswer {
   status: number;
   outcome: string | null;
   retryAfter: string | null;
@@ -242,7 +246,7 @@
   port: number,
   path: string,
   options: {headers?: Record<string, string>; body?: string} = {},
-): Promise<PlainAnswer> {
+): Promise<HttpAnswer> {
   const response = await fetch(`http://127.0.0.1:${port}${path}`, {
     method: 'POST',
     headers: {
--- a/packages/banyanfold-entry/src/__tests__/leaving.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/leaving.test.ts
@@ -1,7 +1,7 @@
 import {request, type IncomingMessage} from 'node:http';
 import {createEntryClient} from '@banyanfold/protocol';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import {framesOf, streamHead, answerWhole} from './kit/behaviours.js';
+import {framesOf, writeStreamHead, answerWhole} from './kit/behaviours.js';
 import {INTERNAL_KEY, type AttemptCall} from './kit/fakeAgent.js';
 import {eventually} from './kit/eventually.js';
 import {CALLER_KEY, CHAT, TestSystem, isReady, post} from './kit/testSystem.js';
@@ -32,7 +32,7 @@
     leave('agent-1');
     const [agent1, agent2] = system.agents;
     await eventually(
-      () => system.lines.length && explainCandidates(port),
+      () => system.logLines.length && explainCandidates(port),
     ).toContainEqual(['agent-1', 'leaving']);
     agent1!.calls.length = 0;
     for (let i = 0; i < 6; i++) await post(port, CHAT_PATH);
@@ -44,7 +44,7 @@
     const port = await system.startReadyEntry();
     system.vmListIsDown = true;
     await eventually(() =>
-      system.lines.some(line => line.includes('vm-list-failed')),
+      system.logLines.some(line => line.includes('vm-list-failed')),
     ).toBe(true);
     expect((await post(port, CHAT_PATH)).status).toBe(200);
   });
@@ -57,7 +57,7 @@
     let call: AttemptCall | undefined;
     system.next.push(taken => {
       call = taken;
-      streamHead(taken);
+      writeStreamHead(taken);
       taken.res.write(framesOf(taken)[0]!);
     });
     const response = await fetch(`http://127.0.0.1:${port}${CHAT_PATH}`, {
@@ -72,7 +72,7 @@
     call!.res.end(framesOf(call!).slice(1).join(''));
     expect(await response.text()).toContain('[DONE]');
     await drained;
-    expect(system.lines.at(-1)).toContain('drain-finished');
+    expect(system.logLines.at(-1)).toContain('drain-finished');
   });
 
   it('says in the log what the bound of a drain cuts off', async () => {
@@ -82,7 +82,7 @@
     const cutOff = post(port, CHAT_PATH).catch(refused);
     await eventually(() => system.takeCounts().calls).toBe(1);
     await entry.drain();
-    expect(system.lines.join('\n')).toContain(
+    expect(system.logLines.join('\n')).toContain(
       'event=drain-bound-passed cutOff=1',
     );
     await entry.stop();
@@ -131,7 +131,7 @@
     await system.startReadyEntry();
     system.setLogOutage('cut');
     const port = await system.startReadyEntry();
-    for (const agent of system.agents) agent.otherwise = answerWhole;
+    for (const agent of system.agents) agent.fallback = answerWhole;
     expect((await post(port, CHAT_PATH)).status).toBe(200);
     const [first, second] = await Promise.all(
       system.entries.map(({entry}) => entry.handlers.status()),
--- a/packages/banyanfold-entry/src/__tests__/openaiContract.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/openaiContract.test.ts
@@ -1,6 +1,6 @@
 import {request} from 'node:http';
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
-import {TEXT, frame, framesOf, send} from './kit/behaviours.js';
+import {ANSWER_TEXT, frame, framesOf, sendFrames} from './kit/behaviours.js';
 import {
   CALLER_KEY,
   CHAT,
@@ -26,7 +26,7 @@
 
   it('answers a chat completion whole', async () => {
     const answer = await openaiClient(port).chat.completions.create(CHAT);
-    expect(answer.choices[0]?.message.content).toBe(TEXT);
+    expect(answer.choices[0]?.message.content).toBe(ANSWER_TEXT);
     expect(answer.usage?.total_tokens).toBe(6);
   });
 
@@ -37,13 +37,13 @@
     for await (const chunk of stream) {
       text += chunk.choices[0]?.delta.content ?? '';
     }
-    expect(text).toBe(TEXT);
+    expect(text).toBe(ANSWER_TEXT);
   });
 
   it('passes on the chunk with the usage', async () => {
     const usage = {prompt_tokens: 3, completion_tokens: 3, total_tokens: 6};
     system.next.push(
-      send(call => {
+      sendFrames(call => {
         const frames = framesOf(call).slice(0, -1);
         const last = JSON.stringify({choices: [], usage});
         const {attemptId} = call;
@@ -108,7 +108,7 @@
   );
 
   it('never logs a key', () => {
-    const text = system.lines.join('\n');
+    const text = system.logLines.join('\n');
     expect(text).not.toContain(CALLER_KEY);
     expect(text).not.toContain('other-key');
   });
--- a/packages/banyanfold-entry/src/__tests__/placementView.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/placementView.test.ts
@@ -2,7 +2,7 @@
 import {rendezvousOrder} from '@banyanfold/log';
 import {afterEach, beforeEach, describe, expect, it, vi} from 'vitest';
 import {ServiceTimes} from '../plugins/serviceTimes.js';
-import {dieSilently} from './kit/behaviours.js';
+import {runThenDropConnection} from './kit/behaviours.js';
 import {eventually} from './kit/eventually.js';
 import {TestSystem, post} from './kit/testSystem.js';
 
@@ -68,7 +68,7 @@
   // Both runners fail. How long a failure took says nothing of an answer;
   // taken for one, demand would look small and no copy would be made.
   it('learns nothing from a request that failed', async () => {
-    for (const agent of system.agents) agent.otherwise = dieSilently;
+    for (const agent of system.agents) agent.fallback = runThenDropConnection;
     const port = await system.startReadyEntry(PLANNING);
     expect((await post(port, CHAT_PATH)).status).not.toBe(200);
     const seen = views.length;
@@ -119,8 +119,8 @@
 describe('ServiceTimes', () => {
   it('starts at the first answer and smooths the next', () => {
     const times = new ServiceTimes();
-    times.note('claims@1', 1_000);
-    times.note('claims@1', 2_000);
+    times.record('claims@1', 1_000);
+    times.record('claims@1', 2_000);
     expect(times.currentMs('claims@1')).toBe(1_100);
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/planner.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/planner.test.ts
@@ -33,7 +33,7 @@
     ).toBe(200);
     const loaded = proposals().map(({artifact}) => artifact);
     expect(loaded).toEqual(expect.arrayContaining(['claims@1', 'hidden@1']));
-    const moves = system.lines.filter(line => line.includes('event=move'));
+    const moves = system.logLines.filter(line => line.includes('event=move'));
     expect(moves.length).toBe(proposals().length);
     for (const move of moves) expect(move).toMatch(/ reason=\S+ epoch=\d+ /);
     for (const {viewedAtMs} of proposals()) {
@@ -76,7 +76,7 @@
     system.setLogOutage('refuse');
     await system.startReadyEntry({...PLANNING, vmId: 'entry-planner'});
     const {entry} = system.entries[1]!;
-    await eventually(() => system.lines.join('\n')).toContain(
+    await eventually(() => system.logLines.join('\n')).toContain(
       'planner-claim-failed',
     );
     const begun = rounds(1);
--- a/packages/banyanfold-entry/src/__tests__/serviceRetry.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/serviceRetry.test.ts
@@ -26,7 +26,7 @@
     await system.start(2, {...CONFIG, selectors});
     const port = await system.startReadyEntry();
     for (const agent of system.agents) {
-      agent.otherwise = call => answerJson(call, RECEIPT);
+      agent.fallback = call => answerJson(call, RECEIPT);
     }
     system.next.push(refuse('busy', 429));
     const headers = {'idempotency-key': uuidV7()};
--- a/packages/banyanfold-entry/src/__tests__/session.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/session.test.ts
@@ -1,6 +1,12 @@
 import {afterAll, beforeAll, describe, expect, it} from 'vitest';
 import {v7 as uuidV7} from 'uuid';
-import {answerJson, cut, framesOf, refuse, send} from './kit/behaviours.js';
+import {
+  answerJson,
+  dropConnection,
+  framesOf,
+  refuse,
+  sendFrames,
+} from './kit/behaviours.js';
 import {eventually} from './kit/eventually.js';
 import {TestSystem, post} from './kit/testSystem.js';
 
@@ -23,7 +29,7 @@
     if (!ids.has(id)) ids.set(id, `id-${ids.size + 1}`);
     return ids.get(id)!;
   };
-  return system.lines
+  return system.logLines
     .filter(line => !/plugin-started|config-in-force/.test(line))
     .map(line => line.replace(UUID, numberOf))
     .map(line => line.replace(/(tookMs|delayMs)=\d+/g, '$1=N'))
@@ -44,7 +50,9 @@
     await post(port, CHAT_PATH, {body: stream});
     system.next.push(refuse('busy', 429, 'not-run', 700));
     await post(port, CHAT_PATH);
-    system.next.push(send(call => framesOf(call).slice(0, 2), cut));
+    system.next.push(
+      sendFrames(call => framesOf(call).slice(0, 2), dropConnection),
+    );
     await post(port, CHAT_PATH, {body: stream});
     system.next.push(call => answerJson(call, '{"receipt":17}'));
     await post(port, '/services/lodging/claims', {
--- a/packages/banyanfold-entry/src/__tests__/settings.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/settings.test.ts
@@ -40,10 +40,10 @@
   it('has demand follow as fast as it did where it was measured', () => {
     const {planner} = entrySettingsSchema.parse(REQUIRED);
     const meter = new DemandMeter(planner.demandHalfLifeMs);
-    meter.noteMisses('entry-2', {});
-    meter.close(0);
-    meter.noteMisses('entry-2', {'claims@1': 10});
-    meter.close(1_000);
+    meter.recordMisses('entry-2', {});
+    meter.endWindow(0);
+    meter.recordMisses('entry-2', {'claims@1': 10});
+    meter.endWindow(1_000);
     expect(meter.demandPerSecond('claims@1')).toBeCloseTo(1, 3);
   });
 
--- a/packages/banyanfold-entry/src/__tests__/slowCallers.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/slowCallers.test.ts
@@ -1,6 +1,6 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {afterEach, describe, expect, it} from 'vitest';
-import {framesOf, send} from './kit/behaviours.js';
+import {framesOf, sendFrames} from './kit/behaviours.js';
 import {eventually} from './kit/eventually.js';
 import {CALLER_KEY, CHAT, TestSystem} from './kit/testSystem.js';
 
@@ -19,7 +19,7 @@
     limits: {callerStallMs},
     attempts: {streamIdleMs: STREAM_IDLE_MS},
   });
-  system.next.push(send(call => framesOf(call, WORDS)));
+  system.next.push(sendFrames(call => framesOf(call, WORDS)));
   return fetch(`http://127.0.0.1:${port}/v1/chat/completions`, {
     method: 'POST',
     headers: {authorization: `Bearer ${CALLER_KEY}`},
@@ -45,7 +45,7 @@
     const [agent] = system.agents;
     await eventually(() => agent!.sealed.length).toBe(1);
     await eventually(() => agent!.calls[0]!.socket.destroyed).toBe(true);
-    await eventually(() => system.lines.join('\n')).toContain(
+    await eventually(() => system.logLines.join('\n')).toContain(
       'result=caller-gone',
     );
   });
--- a/packages/banyanfold-entry/src/__tests__/streamFaults.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/streamFaults.test.ts
@@ -1,13 +1,13 @@
 import {afterAll, afterEach, beforeAll, describe, expect, it} from 'vitest';
 import {
-  TEXT,
-  cut,
-  dieSilently,
+  ANSWER_TEXT,
+  dropConnection,
+  runThenDropConnection,
   frame,
   framesOf,
   refuse,
-  send,
-  streamHead,
+  sendFrames,
+  writeStreamHead,
 } from './kit/behaviours.js';
 import type {AttemptCall, Behaviour} from './kit/fakeAgent.js';
 import {CALLER_KEY, CHAT, TestSystem, openaiClient} from './kit/testSystem.js';
@@ -42,7 +42,7 @@
 const MENDED: FaultCase[] = [
   {
     name: "frames of another's attempt among its own",
-    first: send(call => {
+    first: sendFrames(call => {
       const [a, b, ...rest] = framesOf(call);
       return [a!, framesOf(foreign)[1]!, b!, ...rest];
     }),
@@ -51,13 +51,13 @@
   },
   {
     name: 'frames that come twice',
-    first: send(call => framesOf(call).flatMap(text => [text, text])),
+    first: sendFrames(call => framesOf(call).flatMap(text => [text, text])),
     calls: 1,
     resumed: 0,
   },
   {
     name: 'an early frame that comes late again',
-    first: send(call => {
+    first: sendFrames(call => {
       const frames = framesOf(call);
       return [...frames.slice(0, 3), frames[0]!, ...frames.slice(3)];
     }),
@@ -66,54 +66,57 @@
   },
   {
     name: 'a frame that is missing',
-    first: send(call => framesOf(call).toSpliced(1, 1)),
+    first: sendFrames(call => framesOf(call).toSpliced(1, 1)),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'a clean end without the end marker',
-    first: send(call => framesOf(call).slice(0, -1)),
+    first: sendFrames(call => framesOf(call).slice(0, -1)),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'an agent that dies after the first event',
-    first: send(first, cut),
+    first: sendFrames(first, dropConnection),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'an agent that dies inside an event',
-    first: send(call => [...first(call), framesOf(call)[1]!.slice(0, -9)], cut),
+    first: sendFrames(
+      call => [...first(call), framesOf(call)[1]!.slice(0, -9)],
+      dropConnection,
+    ),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'a frame without its id',
-    first: send(call => [...first(call), 'data: {"choices":[]}\n\n']),
+    first: sendFrames(call => [...first(call), 'data: {"choices":[]}\n\n']),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'a resumed stream that begins again from the start',
-    first: send(first, cut),
-    resumes: [send(call => framesOf(call))],
+    first: sendFrames(first, dropConnection),
+    resumes: [sendFrames(call => framesOf(call))],
     calls: 1,
     resumed: 1,
   },
   {
     name: 'an agent that dies twice',
-    first: send(first, cut),
-    resumes: [send(call => framesOf(call).slice(1, 2), cut)],
+    first: sendFrames(first, dropConnection),
+    resumes: [sendFrames(call => framesOf(call).slice(1, 2), dropConnection)],
     calls: 1,
     resumed: 2,
   },
   {
     name: 'a resume that is answered with the wrong echo',
-    first: send(first, cut),
+    first: sendFrames(first, dropConnection),
     resumes: [
       call => {
-        streamHead(call, 'another');
+        writeStreamHead(call, 'another');
         call.res.end(framesOf(foreign).join(''));
       },
     ],
@@ -122,26 +125,26 @@
   },
   {
     name: 'an agent that takes the resume and hangs',
-    first: send(first, cut),
+    first: sendFrames(first, dropConnection),
     resumes: [() => {}],
     calls: 1,
     resumed: 2,
   },
   {
     name: 'an agent that falls silent inside its stream',
-    first: send(first, () => {}),
+    first: sendFrames(first, () => {}),
     calls: 1,
     resumed: 1,
   },
   {
     name: 'an agent that dies with nothing sent',
-    first: dieSilently,
+    first: runThenDropConnection,
     calls: 2,
     resumed: 0,
   },
   {
     name: 'an agent that dies after its head',
-    first: send(() => [], cut),
+    first: sendFrames(() => [], dropConnection),
     calls: 2,
     resumed: 0,
   },
@@ -154,7 +157,7 @@
   {
     name: 'an answer to another attempt',
     first: call => {
-      streamHead(call, 'another');
+      writeStreamHead(call, 'another');
       call.res.end(framesOf(foreign).join(''));
     },
     calls: 2,
@@ -179,7 +182,7 @@
   it.each(MENDED)('mends $name', async ({first, resumes, calls, resumed}) => {
     system.next.push(first);
     system.nextResumes.push(...(resumes ?? []));
-    expect(await streamedText()).toBe(TEXT);
+    expect(await streamedText()).toBe(ANSWER_TEXT);
     const counts = system.takeCounts();
     expect([counts.calls, counts.resumes]).toEqual([calls, resumed]);
   });
@@ -188,7 +191,7 @@
     ['the agent has forgotten it', [gone]],
     [
       'no resume brings a further event',
-      Array<Behaviour>(10).fill(dieSilently),
+      Array<Behaviour>(10).fill(runThenDropConnection),
     ],
   ])(
     'never ends a part cleanly when %s',
@@ -196,7 +199,7 @@
     // see an error and a broken connection: most clients take a clean end for
     // the end of the answer, and a member would be read half an answer.
     async (_name, resumes) => {
-      system.next.push(send(first, cut));
+      system.next.push(sendFrames(first, dropConnection));
       system.nextResumes.push(...resumes);
       const {text, brokeOff} = await readRaw();
       expect(brokeOff).toBe(true);
@@ -207,14 +210,14 @@
   );
 
   it('raises an error in the openai client for a broken stream', async () => {
-    system.next.push(send(first, cut));
+    system.next.push(sendFrames(first, dropConnection));
     system.nextResumes.push(gone);
     await expect(streamedText()).rejects.toThrow('the answer broke off');
   });
 
   it('sends nothing after the end marker', async () => {
     system.next.push(
-      send(call => [
+      sendFrames(call => [
         ...framesOf(call),
         frame(call.attemptId, 9, '{"after":"the end"}'),
       ]),
--- a/packages/banyanfold-entry/src/__tests__/wholeAnswerFaults.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/wholeAnswerFaults.test.ts
@@ -1,13 +1,13 @@
 import {HEADERS} from '@banyanfold/protocol';
 import {afterAll, afterEach, beforeAll, describe, expect, it} from 'vitest';
 import {
-  TEXT,
+  ANSWER_TEXT,
   answerJson,
   answerWhole,
-  cut,
-  dieSilently,
+  dropConnection,
+  runThenDropConnection,
   refuse,
-  wholeBody,
+  completionBody,
 } from './kit/behaviours.js';
 import type {AttemptCall, Behaviour} from './kit/fakeAgent.js';
 import {eventually} from './kit/eventually.js';
@@ -24,7 +24,7 @@
   system.next.length = 0;
   system.takeCounts();
   for (const agent of system.agents) {
-    agent.otherwise = answerWhole;
+    agent.fallback = answerWhole;
     agent.sealState = 'started';
   }
 });
@@ -32,19 +32,19 @@
 
 function half(headers: Record<string, string | number>): Behaviour {
   return call => {
-    const body = wholeBody(call.requestId);
+    const body = completionBody(call.requestId);
     call.res.writeHead(200, {
       'content-type': 'application/json',
       [HEADERS.attemptId]: call.attemptId,
       ...headers,
     });
-    call.res.write(body.slice(0, body.length / 2), () => cut(call));
+    call.res.write(body.slice(0, body.length / 2), () => dropConnection(call));
   };
 }
 
 /** A body whose end is the end of the connection, cleanly cut in the middle. */
 const halfWithoutLength: Behaviour = call => {
-  const body = wholeBody(call.requestId);
+  const body = completionBody(call.requestId);
   call.socket.end(
     'HTTP/1.1 200 OK\r\nconnection: close\r\n' +
       `${HEADERS.attemptId}: ${call.attemptId}\r\n\r\n` +
@@ -53,7 +53,7 @@
 };
 
 const FAULTS: Array<[string, Behaviour]> = [
-  ['an agent that dies with nothing sent', dieSilently],
+  ['an agent that dies with nothing sent', runThenDropConnection],
   ['half a body of a stated length', half({'content-length': 400})],
   ['half a chunked body', half({})],
   ['half a body without a length', halfWithoutLength],
@@ -62,7 +62,9 @@
   [
     "another attempt's answer",
     (call: AttemptCall) =>
-      answerJson(call, wholeBody('another'), {[HEADERS.attemptId]: 'another'}),
+      answerJson(call, completionBody('another'), {
+        [HEADERS.attemptId]: 'another',
+      }),
   ],
   [
     'an engine in trouble',
@@ -80,13 +82,13 @@
   it.each(FAULTS)('tries again after %s', async (_name, fault) => {
     system.next.push(fault);
     const answer = await openaiClient(port).chat.completions.create(CHAT);
-    expect(answer.choices[0]?.message.content).toBe(TEXT);
+    expect(answer.choices[0]?.message.content).toBe(ANSWER_TEXT);
     expect(system.takeCounts().calls).toBe(2);
   });
 
   it('says not run, at once and with Retry-After, when all refuse', async () => {
     for (const agent of system.agents) {
-      agent.otherwise = refuse('busy', 429, 'not-run', 1_500);
+      agent.fallback = refuse('busy', 429, 'not-run', 1_500);
     }
     expect(await post(port, '/v1/chat/completions')).toMatchSnapshot();
   });
@@ -103,7 +105,7 @@
     'answers by what the seal says: %s',
     async (sealState, status, outcome) => {
       for (const agent of system.agents) {
-        agent.otherwise = dieSilently;
+        agent.fallback = runThenDropConnection;
         agent.sealState = sealState;
       }
       const answer = await post(port, '/v1/chat/completions');
@@ -120,7 +122,7 @@
   // final answer when the selector's target is over, and the attempt is
   // stopped; it ran, so the outcome is unknown.
   it('gives up at the deadline and says that it may have run', async () => {
-    for (const agent of system.agents) agent.otherwise = () => {};
+    for (const agent of system.agents) agent.fallback = () => {};
     const answer = await post(port, '/v1/chat/completions', {
       headers: {'x-hurry': 'yes'},
     });
@@ -149,7 +151,7 @@
   it('refuses a caller over its concurrency', async () => {
     const held: AttemptCall[] = [];
     for (const agent of system.agents) {
-      agent.otherwise = call => held.push(call);
+      agent.fallback = call => held.push(call);
     }
     const open = Array.from({length: 8}, () =>
       post(port, '/v1/chat/completions'),
--- a/packages/banyanfold-entry/src/attempts/sealAttempt.ts
+++ b/packages/banyanfold-entry/src/attempts/sealAttempt.ts
@@ -19,7 +19,7 @@
 ): Promise<boolean> {
   const {agent, attemptId, incarnation} = target;
   try {
-    const client = context.clients.of(agent);
+    const client = context.clients.clientFor(agent);
     const {state} = await client.seal.mutate({attemptId, incarnation});
     context.logger.info('attempt-sealed', {
       attempt: attemptId,
--- a/packages/banyanfold-entry/src/control/entryHandlers.ts
+++ b/packages/banyanfold-entry/src/control/entryHandlers.ts
@@ -38,7 +38,7 @@
     },
     drain: async () => {
       beginDrain();
-      return {openRequests: lifecycle.open};
+      return {openRequests: lifecycle.openRequestCount};
     },
     explain: async input => explain(context, input),
   };
@@ -56,7 +56,7 @@
     configVersion: configWatch.version,
     ready: isReady(context),
     leaving: lifecycle.leaving,
-    openRequests: lifecycle.open,
+    openRequests: lifecycle.openRequestCount,
     plannerEpoch: Math.max(0, ...epochs),
     missedCount: misses.snapshot(),
     agents: view.agents().map(agent => agentStatus(agent, clock.nowMs())),
--- a/packages/banyanfold-entry/src/drain.ts
+++ b/packages/banyanfold-entry/src/drain.ts
@@ -15,7 +15,7 @@
 ): Promise<void> {
   const {clock, lifecycle, logger, settings} = context;
   lifecycle.leave();
-  logger.info('drain-started', {open: lifecycle.open});
+  logger.info('drain-started', {open: lifecycle.openRequestCount});
   await sleep(clock, settings.drainNoticeMs);
   // Closes idle connections too; those in use get `Connection: close` with
   // their answer.
@@ -30,7 +30,7 @@
     return;
   }
   logger.warn('drain-bound-passed', {
-    cutOff: lifecycle.open,
+    cutOff: lifecycle.openRequestCount,
     boundSeconds: settings.drainBoundMs / MS_PER_SECOND,
   });
 }
--- a/packages/banyanfold-entry/src/http/inference.ts
+++ b/packages/banyanfold-entry/src/http/inference.ts
@@ -34,7 +34,7 @@
     const caller = callers.admit(call.req);
     lifecycle.requestOpened();
     try {
-      if (lifecycle.open > settings.limits.maxOpenRequests) {
+      if (lifecycle.openRequestCount > settings.limits.maxOpenRequests) {
         throw new ApiError('overloaded', 'too many requests are open here', {
           retryAfterMs: OVERLOADED_RETRY_MS,
         });
--- a/packages/banyanfold-entry/src/http/readiness.ts
+++ b/packages/banyanfold-entry/src/http/readiness.ts
@@ -3,6 +3,6 @@
 /** Whether the balancer should send callers here. */
 export function isReady(context: EntryContext): boolean {
   const {configWatch, lifecycle, view} = context;
-  if (lifecycle.leaving || !configWatch.ready || !view.known) return false;
+  if (lifecycle.leaving || !configWatch.ready || !view.hasVmList) return false;
   return view.agents().some(agent => agent.report !== undefined);
 }
--- a/packages/banyanfold-entry/src/lifecycle.ts
+++ b/packages/banyanfold-entry/src/lifecycle.ts
@@ -27,7 +27,7 @@
     res.once('close', () => this.unanswered.delete(res));
   }
 
-  get open(): number {
+  get openRequestCount(): number {
     return this.openRequests;
   }
 
--- a/packages/banyanfold-entry/src/plugins/demandMeter.ts
+++ b/packages/banyanfold-entry/src/plugins/demandMeter.ts
@@ -21,14 +21,14 @@
 
   constructor(private readonly halfLifeMs: number) {}
 
-  noteReport(report: AgentReport): void {
+  recordReport(report: AgentReport): void {
     const {vmId, incarnation, servedCount} = report;
     const source = {incarnation, counts: servedCount};
     const increases = takeIncreases(this.served, vmId, source);
     addCounts(this.newRequests, increases);
   }
 
-  noteMisses(vmId: string, counts: Record<string, number>): void {
+  recordMisses(vmId: string, counts: Record<string, number>): void {
     const source = {incarnation: 0, counts};
     const increases = takeIncreases(this.missed, vmId, source);
     addCounts(this.newRequests, increases);
@@ -36,7 +36,7 @@
   }
 
   /** Ends a window; what came since the last one enters the rates. */
-  close(nowMs: number): void {
+  endWindow(nowMs: number): void {
     const elapsedMs = nowMs - (this.lastMs ?? nowMs);
     this.lastMs = nowMs;
     if (elapsedMs > 0) this.smooth(elapsedMs);
--- a/packages/banyanfold-entry/src/plugins/idempotency.ts
+++ b/packages/banyanfold-entry/src/plugins/idempotency.ts
@@ -9,9 +9,13 @@
 } from '../context.js';
 import {ApiError, type ApiErrorCode} from '../http/apiErrors.js';
 import type {RequestJob, RequestResult} from '../requests/types.js';
-import {KeyNotes} from './keyNotes.js';
-import {outcomeUnknown, recordedAnswer, toFinishedRun} from './keyOutcome.js';
-import {OwnRuns} from './ownRuns.js';
+import {KeyOutcomeRecorder} from './keyOutcomeRecorder.js';
+import {
+  outcomeUnknownError,
+  recordedAnswer,
+  toFinishedRun,
+} from './keyOutcome.js';
+import {LocalRuns} from './localRuns.js';
 
 const IN_PROGRESS_RETRY_MS = 1000;
 const LOG_RETRY_MS = 2000;
@@ -30,12 +34,12 @@
  */
 class KeyGuard {
   private readonly claims: KeyClaims;
-  private readonly ownRuns = new OwnRuns();
-  private readonly notes: KeyNotes;
+  private readonly ownRuns = new LocalRuns();
+  private readonly notes: KeyOutcomeRecorder;
 
   constructor(private readonly context: EntryContext) {
     const {settings, log, clock, logger, random} = context;
-    this.notes = new KeyNotes(context);
+    this.notes = new KeyOutcomeRecorder(context);
     this.claims = new KeyClaims({
       log,
       clock,
@@ -102,14 +106,14 @@
     if (neverRan(job, result)) {
       this.ownRuns.set(key, {kind: 'releasing'});
       void this.notes
-        .add(() => this.claims.release(key, claimOffset))
-        .then(isReleased => isReleased && this.ownRuns.forget(key));
+        .record(() => this.claims.release(key, claimOffset))
+        .then(isReleased => isReleased && this.ownRuns.delete(key));
       return;
     }
     const {keyBodyBytes} = this.context.settings;
     const run = toFinishedRun(job, result, keyBodyBytes);
     this.ownRuns.set(key, {kind: 'finished', run});
-    void this.notes.add(() => this.claims.finish(key, run));
+    void this.notes.record(() => this.claims.finish(key, run));
   }
 
   private answerTaken(
@@ -120,7 +124,7 @@
     const own = this.ownRuns.get(key);
     const run = own?.kind === 'finished' ? own.run : finished;
     if (run) return {kind: 'answer', answer: recordedAnswer(job, run)};
-    if (!own && !this.mayStillRun(job, key)) throw outcomeUnknown();
+    if (!own && !this.mayStillRun(job, key)) throw outcomeUnknownError();
     throw new ApiError('key_in_progress', 'it is being run under this key', {
       outcome: 'unknown',
       retryAfterMs: IN_PROGRESS_RETRY_MS,
--- a/packages/banyanfold-entry/src/plugins/keyOutcome.ts
+++ b/packages/banyanfold-entry/src/plugins/keyOutcome.ts
@@ -60,7 +60,7 @@
   if (kept && kept.fingerprint !== fingerprintOf(job)) {
     throw new ApiError('key_reused', 'the key was used for another request');
   }
-  if (kept?.outcome === 'unknown') throw outcomeUnknown();
+  if (kept?.outcome === 'unknown') throw outcomeUnknownError();
   if (kept?.body === undefined) {
     throw new ApiError(
       'key_already_finished',
@@ -79,7 +79,7 @@
   };
 }
 
-export function outcomeUnknown(): ApiError {
+export function outcomeUnknownError(): ApiError {
   return new ApiError(
     'key_outcome_unknown',
     'it was dispatched already and its outcome is not known; it will not run ' +
--- a/packages/banyanfold-entry/src/plugins/keyNotes.ts
+++ b/packages/banyanfold-entry/src/plugins/keyOutcomeRecorder.ts
@@ -11,14 +11,14 @@
  * was lodged in an outage would otherwise stay "outcome unknown" for all who
  * ask another entry. The records are idempotent, so they may be repeated.
  */
-export class KeyNotes {
+export class KeyOutcomeRecorder {
   private readonly inFlight = new Set<Promise<unknown>>();
   private stopped = false;
 
   constructor(private readonly context: EntryContext) {}
 
   /** Appends now or later; resolves to whether it got there. */
-  async add(append: Append): Promise<boolean> {
+  async record(append: Append): Promise<boolean> {
     const {clock, logger, random, settings} = this.context;
     const endMs = clock.nowMs() + settings.keyHorizonMs;
     for (;;) {
--- a/packages/banyanfold-entry/src/plugins/ownRuns.ts
+++ b/packages/banyanfold-entry/src/plugins/localRuns.ts
@@ -3,7 +3,7 @@
 const MAX_FINISHED = 1000;
 
 /** What this process knows of a key that it owns. */
-export type OwnRun =
+export type LocalRun =
   | {kind: 'running'}
   /** It never ran, and the record that gives the key back is on its way. */
   | {kind: 'releasing'}
@@ -14,20 +14,20 @@
  * from there, after the answer has gone to the caller; a call that comes
  * between would be told that the outcome is unknown while it is known here.
  */
-export class OwnRuns {
-  private readonly runs = new Map<string, OwnRun>();
+export class LocalRuns {
+  private readonly runs = new Map<string, LocalRun>();
 
-  get(key: string): OwnRun | undefined {
+  get(key: string): LocalRun | undefined {
     return this.runs.get(key);
   }
 
-  set(key: string, run: OwnRun): void {
+  set(key: string, run: LocalRun): void {
     this.runs.delete(key);
     this.runs.set(key, run);
     if (run.kind === 'finished') this.dropOldestFinished();
   }
 
-  forget(key: string): void {
+  delete(key: string): void {
     this.runs.delete(key);
   }
 
--- a/packages/banyanfold-entry/src/plugins/metrics.ts
+++ b/packages/banyanfold-entry/src/plugins/metrics.ts
@@ -6,7 +6,7 @@
   return {
     name: 'metrics',
     async start() {
-      metrics.gauge('open_requests', () => lifecycle.open);
+      metrics.gauge('open_requests', () => lifecycle.openRequestCount);
       metrics.gauge('config_version', () => configWatch.version);
       metrics.gauge(
         'reachable_agents',
--- a/packages/banyanfold-entry/src/plugins/placementView.ts
+++ b/packages/banyanfold-entry/src/plugins/placementView.ts
@@ -11,7 +11,7 @@
 import type {ServiceTimes} from './serviceTimes.js';
 
 /** What the planner has measured of each artifact. */
-export interface ArtifactMeasures {
+export interface ArtifactMeasurements {
   demand: DemandMeter;
   serviceTimes: ServiceTimes;
 }
@@ -37,7 +37,7 @@
  * Whether each live agent was heard or given up. A planner that starts before
  * would take the copies of those not heard yet for missing, and load them all.
  */
-export function isViewSettled(context: EntryContext): boolean {
+export function isViewComplete(context: EntryContext): boolean {
   const {view, settings} = context;
   const live = view.agents().filter(agent => agent.vm.state === 'live');
   return (
@@ -51,9 +51,9 @@
 }
 
 /** Collects what the placement decision looks at. */
-export function placementView(
+export function buildPlacementView(
   context: EntryContext,
-  {demand, serviceTimes}: ArtifactMeasures,
+  {demand, serviceTimes}: ArtifactMeasurements,
   pending: readonly PendingMove[],
   lastLoadMs: number,
 ): PlacementView {
--- a/packages/banyanfold-entry/src/plugins/planner.ts
+++ b/packages/banyanfold-entry/src/plugins/planner.ts
@@ -17,8 +17,8 @@
 import {DemandMeter} from './demandMeter.js';
 import {
   isReported,
-  isViewSettled,
-  placementView,
+  isViewComplete,
+  buildPlacementView,
   type PendingMove,
 } from './placementView.js';
 import {PlannerEpoch} from './plannerEpoch.js';
@@ -54,7 +54,7 @@
       return true;
     }
     await this.askPeersForMisses();
-    const isReady = context.configWatch.ready && isViewSettled(context);
+    const isReady = context.configWatch.ready && isViewComplete(context);
     if (!isReady) return true;
     const viewedAtMs = context.configWatch.logNowMs;
     await this.send(this.decide(), viewedAtMs);
@@ -71,7 +71,7 @@
     const result = await next();
     if (job.attempts === 1 && isAnswered(result)) {
       const tookMs = clock.nowMs() - startedMs;
-      this.serviceTimes.note(job.target.artifact, tookMs);
+      this.serviceTimes.record(job.target.artifact, tookMs);
     }
     return result;
   }
@@ -79,10 +79,10 @@
   private noteDemand(): void {
     const {view, misses, settings, clock} = this.context;
     for (const {report} of view.agents()) {
-      if (report) this.meter.noteReport(report);
+      if (report) this.meter.recordReport(report);
     }
-    this.meter.noteMisses(settings.vmId, misses.snapshot());
-    this.meter.close(clock.nowMs());
+    this.meter.recordMisses(settings.vmId, misses.snapshot());
+    this.meter.endWindow(clock.nowMs());
   }
 
   private async askPeersForMisses(): Promise<void> {
@@ -92,7 +92,7 @@
       peers.map(async ({vmId, host, port}) => {
         const {internalKey, reportTimeoutMs: timeoutMs} = settings;
         const client = createEntryClient({host, port, internalKey, timeoutMs});
-        this.meter.noteMisses(vmId, await askMisses(client));
+        this.meter.recordMisses(vmId, await askMisses(client));
       }),
     );
   }
@@ -102,7 +102,7 @@
     const {loadsPerSecond, loadsAtOnce, attainmentWeight, moveWeight} =
       context.settings.planner;
     this.dropReported();
-    const view = placementView(
+    const view = buildPlacementView(
       context,
       {demand: this.meter, serviceTimes: this.serviceTimes},
       this.pending,
@@ -152,7 +152,7 @@
     const sequence = agent.digest?.sequence ?? 0;
     const {reason, vmId: _vmId, ...what} = move;
     const result = await context.clients
-      .of(agent)
+      .clientFor(agent)
       .propose.mutate({
         proposalId,
         plannerEpoch: this.epoch.current,
@@ -177,7 +177,7 @@
       accepted: result.accepted,
       answer: result.reason,
     });
-    if (result.reason === 'old-planner') this.epoch.lost();
+    if (result.reason === 'old-planner') this.epoch.invalidate();
     if (!result.accepted) return;
     this.pending.push({move, copyId: proposalId, incarnation, sequence});
   }
--- a/packages/banyanfold-entry/src/plugins/plannerEpoch.ts
+++ b/packages/banyanfold-entry/src/plugins/plannerEpoch.ts
@@ -35,7 +35,7 @@
   }
 
   /** An agent has seen a higher one; claims again only after a while. */
-  lost(): void {
+  invalidate(): void {
     this.epoch = 0;
     this.backOff();
   }
--- a/packages/banyanfold-entry/src/plugins/serviceTimes.ts
+++ b/packages/banyanfold-entry/src/plugins/serviceTimes.ts
@@ -5,7 +5,7 @@
 export class ServiceTimes {
   private readonly smoothedMs = new Map<string, number>();
 
-  note(artifact: string, tookMs: number): void {
+  record(artifact: string, tookMs: number): void {
     const before = this.smoothedMs.get(artifact) ?? tookMs;
     this.smoothedMs.set(artifact, before + NEW_SHARE * (tookMs - before));
   }
--- a/packages/banyanfold-entry/src/view/agentClients.ts
+++ b/packages/banyanfold-entry/src/view/agentClients.ts
@@ -11,7 +11,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  of(agent: AgentState): AgentClient {
+  clientFor(agent: AgentState): AgentClient {
     const {host, port} = agent.vm;
     const address = `${host}:${port}`;
     let client = this.clients.get(address);
--- a/packages/banyanfold-entry/src/view/clusterView.ts
+++ b/packages/banyanfold-entry/src/view/clusterView.ts
@@ -3,7 +3,7 @@
 import {AgentState} from './agentState.js';
 
 /** Where this entry stands. */
-export interface ClusterPlace {
+export interface EntryLocation {
   vmId: string;
   failureDomain: string;
   region: string;
@@ -16,10 +16,10 @@
   private peerEntries: Vm[] = [];
   private listAsOfMs = -Infinity;
 
-  constructor(private readonly place: ClusterPlace) {}
+  constructor(private readonly location: EntryLocation) {}
 
   /** False until a VM list was read; the list itself may be empty. */
-  get known(): boolean {
+  get hasVmList(): boolean {
     return this.listAsOfMs > -Infinity;
   }
 
@@ -35,7 +35,7 @@
     for (const vm of agentVms) this.applyAgentVm(vm);
     this.runners = this.agents().map(agent => agent.runner);
     this.peerEntries = list.vms.filter(
-      vm => vm.role === 'entry' && vm.vmId !== this.place.vmId,
+      vm => vm.role === 'entry' && vm.vmId !== this.location.vmId,
     );
     return true;
   }
@@ -58,11 +58,11 @@
     const others = this.peerEntries
       .filter(vm => vm.state === 'live')
       .map(vm => vm.vmId);
-    return selfLeaving ? others : [...others, this.place.vmId];
+    return selfLeaving ? others : [...others, this.location.vmId];
   }
 
   routingView(): RoutingView {
-    const {failureDomain, region} = this.place;
+    const {failureDomain, region} = this.location;
     return {runners: this.runners, failureDomain, region};
   }
 
--- a/packages/banyanfold-entry/src/view/reportPoller.ts
+++ b/packages/banyanfold-entry/src/view/reportPoller.ts
@@ -34,7 +34,7 @@
     this.open.add(agent.vmId);
     try {
       const report = await askReport(
-        this.clients.of(agent),
+        this.clients.clientFor(agent),
         agent.reportCursor(),
       );
       // A reused address may answer for another VM; its copies aren't ours.
