--- a/packages/banyanfold-entry/src/config/configWatch.ts
+++ b/packages/banyanfold-entry/src/config/configWatch.ts
@@ -5,8 +5,8 @@
 import type {EntrySettings} from '../settings.js';
 import type {ClusterView} from '../view/clusterView.js';
 
-/** As many peers are asked for their configuration; each has the newest. */
-const PEERS_ASKED = 8;
+/** Each peer holds the newest configuration, so a sample is enough. */
+const MAX_PEERS_QUERIED = 8;
 
 export interface ConfigWatchOptions {
   settings: EntrySettings;
@@ -17,13 +17,13 @@
   view: ClusterView;
 }
 
-/** Keeps the configuration in force, compiled for look-ups. */
+/** Follows the active configuration and compiles it for look-ups. */
 export class ConfigWatch {
   private readonly follower: ConfigFollower;
   private compiled: CompiledConfig | undefined;
   private caughtUp = false;
   private peersAnswered = false;
-  private peersSuffice = false;
+  private logWaitElapsed = false;
   private timers: Timer[] = [];
   private stopped = false;
 
@@ -37,19 +37,19 @@
       vmId: settings.vmId,
       liveVmIds: () => view.plannerCandidates(false),
       retentionMs: settings.logRetentionMs,
-      fetchPeerSnapshots: () => this.askPeers(),
+      fetchPeerSnapshots: () => this.queryPeers(),
       onChange: state => {
         this.compiled = compileConfig(state.body);
       },
     });
   }
 
-  /** The configuration in force, or undefined when none is known. */
+  /** The active configuration, or undefined if none is known. */
   get current(): CompiledConfig | undefined {
     return this.compiled;
   }
 
-  /** The log's clock now, or undefined before the log was ever read. */
+  /** The current time of the log, or undefined before the first read. */
   get logNowMs(): number | undefined {
     return this.follower.logNowMs;
   }
@@ -59,14 +59,15 @@
   }
 
   /**
-   * Whether requests may be served by it. A new VM could otherwise serve by a
-   * version older than its peers' or the log's, and an accepted change would
-   * seem to go back. The log is waited for, but not for ever: while it is down
-   * the newest among the peers is enough, for nothing newer can be published.
+   * Whether requests may be served by the current configuration. A new VM must
+   * not serve by a version older than that of its peers or the log, since an
+   * accepted change would appear to be reverted. The wait for the log is
+   * bounded: while the log is down, the newest version among the peers is
+   * enough, because nothing newer can be published.
    */
   get ready(): boolean {
     if (!this.compiled) return false;
-    return this.caughtUp || (this.peersAnswered && this.peersSuffice);
+    return this.caughtUp || (this.peersAnswered && this.logWaitElapsed);
   }
 
   snapshot(): ConfigSnapshot | undefined {
@@ -81,10 +82,10 @@
     this.follower.start();
     this.timers.push(
       clock.setTimer(settings.configLogWaitMs, () => {
-        this.peersSuffice = true;
+        this.logWaitElapsed = true;
       }),
     );
-    this.askAgainUntilReady();
+    this.scheduleNextPeerQuery();
   }
 
   stop(): void {
@@ -93,23 +94,23 @@
     this.follower.stop();
   }
 
-  /** The VM list may have named no peers yet when the first ones were asked. */
-  private askAgainUntilReady(): void {
+  /** Repeats the query: the VM list may not have named any peers at first. */
+  private scheduleNextPeerQuery(): void {
     const {clock, settings} = this.options;
     const timer = clock.setTimer(settings.vmListIntervalMs, async () => {
       if (this.stopped || this.ready) return;
-      const snapshots = await this.askPeers();
+      const snapshots = await this.queryPeers();
       for (const snapshot of snapshots) this.follower.restore(snapshot);
-      if (!this.stopped) this.askAgainUntilReady();
+      if (!this.stopped) this.scheduleNextPeerQuery();
     });
     this.timers = [...this.timers.slice(0, 1), timer];
   }
 
-  private async askPeers(): Promise<unknown[]> {
+  private async queryPeers(): Promise<unknown[]> {
     const {settings, view} = this.options;
-    const asked = this.samplePeers(view.peers());
-    const answers = await Promise.allSettled(
-      asked.map(({host, port}) =>
+    const sampledPeers = this.samplePeers(view.peers());
+    const responses = await Promise.allSettled(
+      sampledPeers.map(({host, port}) =>
         createEntryClient({
           host,
           port,
@@ -118,8 +119,8 @@
         }).configSnapshot.query(),
       ),
     );
-    const snapshots = answers
-      .filter(answer => answer.status === 'fulfilled')
+    const snapshots = responses
+      .filter(response => response.status === 'fulfilled')
       .map(answer => answer.value)
       .filter(snapshot => snapshot.version > 0);
     if (snapshots.length > 0) this.peersAnswered = true;
@@ -131,7 +132,7 @@
     return peers
       .map(peer => ({peer, rank: random()}))
       .sort((a, b) => a.rank - b.rank)
-      .slice(0, PEERS_ASKED)
+      .slice(0, MAX_PEERS_QUERIED)
       .map(({peer}) => peer);
   }
 }
--- a/packages/banyanfold-entry/src/context.ts
+++ b/packages/banyanfold-entry/src/context.ts
@@ -14,7 +14,7 @@
 import type {AgentClients} from './view/agentClients.js';
 import type {ClusterView} from './view/clusterView.js';
 
-/** What the parts of an entry share. */
+/** Services and state that the components of an entry share. */
 export interface EntryContext extends PluginContext {
   settings: EntrySettings;
   random: () => number;
@@ -29,20 +29,20 @@
   lifecycle: Lifecycle;
 }
 
-/** Runs the rest of a request. */
+/** Continues a request with the next plug-in, and finally its dispatch. */
 export type NextStep = () => Promise<RequestResult>;
 
-/** The hooks of an entry's plug-ins. */
+/** Hooks that a plug-in of an entry may implement. */
 export interface EntryPlugin extends Plugin {
-  /** Runs around each accepted request, in the order of the settings. */
+  /** Wraps each accepted request; plug-ins nest in settings order. */
   aroundRequest?(job: RequestJob, next: NextStep): Promise<RequestResult>;
-  /** Called once a request has had its answer. */
+  /** Called after a request was answered. */
   requestEnded?(job: RequestJob, result: RequestResult): void;
-  /** True for the plug-in that keeps requests from running twice. */
+  /** True if the plug-in runs non-repeatable requests at most once. */
   guardsNonRepeatable?: boolean;
-  /** The epoch this entry plans with; 0 while it doesn't. */
+  /** The epoch under which this entry plans; 0 while it isn't the planner. */
   plannerEpoch?(): number;
 }
 
-/** Plug-ins of entries, by name. */
+/** The registered plug-ins of entries, by name. */
 export const entryPlugins = new PluginRegistry<EntryContext, EntryPlugin>();
--- a/packages/banyanfold-entry/src/control/entryHandlers.ts
+++ b/packages/banyanfold-entry/src/control/entryHandlers.ts
@@ -13,24 +13,24 @@
 import {isReady} from '../http/readiness.js';
 import type {AgentState} from '../view/agentState.js';
 
-/** JSON has no infinity; a runner that is no candidate gets this score. */
+/** Score of a runner that isn't a candidate; JSON can't encode infinity. */
 const NO_CANDIDATE_SCORE = -1;
 
 export interface EntryHandlersOptions {
   context: EntryContext;
   plugins: readonly EntryPlugin[];
-  /** Begins to leave; doesn't wait for the end. */
+  /** Starts to drain, without waiting for the end. */
   beginDrain(): void;
 }
 
-/** Answers the control calls of peers and operators. */
+/** Creates the handlers of the control calls of peers and operators. */
 export function createEntryHandlers(
   options: EntryHandlersOptions,
 ): EntryHandlers {
   const {context, plugins, beginDrain} = options;
   const {configWatch, lifecycle, misses} = context;
   return {
-    status: async () => statusOf(context, plugins),
+    status: async () => entryStatus(context, plugins),
     misses: async () => misses.snapshot(),
     configSnapshot: async () => {
       const state = configWatch.snapshot();
@@ -44,7 +44,7 @@
   };
 }
 
-function statusOf(
+function entryStatus(
   context: EntryContext,
   plugins: readonly EntryPlugin[],
 ): EntryStatus {
@@ -83,8 +83,8 @@
 function explain(context: EntryContext, input: ExplainInput): ExplainResult {
   const {configWatch, view, clock} = context;
   const resolved = configWatch.current?.resolve(input);
-  if (!resolved) return unresolved('no configuration is known here');
-  if (resolved.isErr()) return unresolved(resolved.error.message);
+  if (!resolved) return unresolvedResult('this entry has no configuration yet');
+  if (resolved.isErr()) return unresolvedResult(resolved.error.message);
   const {kind, selector, artifact, modelArtifact} = resolved.value;
   const {firstTokenMs, wholeAnswerMs} = selector.targets;
   const decision = decideRoute(
@@ -111,7 +111,7 @@
   };
 }
 
-function unresolved(reason: string): ExplainResult {
+function unresolvedResult(reason: string): ExplainResult {
   return {selector: '', artifact: '', reason, candidates: []};
 }
 
--- a/packages/banyanfold-entry/src/createEntry.ts
+++ b/packages/banyanfold-entry/src/createEntry.ts
@@ -36,7 +36,7 @@
 import {ClusterView} from './view/clusterView.js';
 import {ViewPollers} from './view/viewPollers.js';
 
-/** What tests put in place of the machine and the platform. */
+/** Replacements for the system clock and platform services in tests. */
 export interface EntryOverrides {
   clock?: Clock;
   logger?: Logger;
@@ -48,17 +48,20 @@
 
 /** A running entry. */
 export interface Entry {
-  /** Listens; readiness follows once configuration and agents are known. */
+  /**
+   * Starts to listen. The entry becomes ready once it has a configuration and
+   * the report of an agent.
+   */
   start(): Promise<{port: number}>;
-  /** Finishes what is open, up to `drainBoundMs`. */
+  /** Finishes open requests, for at most `drainBoundMs`. */
   drain(): Promise<void>;
-  /** Ends everything at once. */
+  /** Stops immediately and closes all connections. */
   stop(): Promise<void>;
   handlers: EntryHandlers;
 }
 
 /**
- * Creates the process of an entry VM.
+ * Creates the entry that runs on an entry VM. It isn't started yet.
  *
  * @example
  * const entry = createEntry(settings);
@@ -76,7 +79,7 @@
     entryPlugins.create(name, context, {}),
   );
   const kernel = new Kernel(plugins, logger);
-  const pollers = new ViewPollers(context, vmListOf(settings, overrides));
+  const pollers = new ViewPollers(context, createVmList(settings, overrides));
   let server: Server | undefined;
   let draining: Promise<void> | undefined;
   const drain = () => {
@@ -150,7 +153,7 @@
   };
 }
 
-function vmListOf(
+function createVmList(
   settings: Settings,
   overrides: EntryOverrides,
 ): VmListService {
--- a/packages/banyanfold-entry/src/drain.ts
+++ b/packages/banyanfold-entry/src/drain.ts
@@ -5,9 +5,9 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Leaves without cutting off a request: readiness fails first, so that the
- * balancer stops sending; then the listener closes; then what is open has
- * until the bound. What is still open then is counted in the log.
+ * Shuts down gracefully: readiness fails first, so that the load balancer stops
+ * sending; then the listener closes; then open requests have `drainBoundMs` to
+ * finish. The number of those still open at the deadline is logged.
  */
 export async function drainEntry(
   context: EntryContext,
@@ -17,15 +17,15 @@
   lifecycle.leave();
   logger.info('drain-started', {open: lifecycle.openRequestCount});
   await sleep(clock, settings.drainNoticeMs);
-  // Closes idle connections too; those in use get `Connection: close` with
-  // their answer.
+  // Also closes idle connections; those in use get `Connection: close` with
+  // their response.
   server.close();
-  const bound = new Promise<'bound'>(resolve => {
-    clock.setTimer(settings.drainBoundMs, () => resolve('bound'));
+  const deadline = new Promise<'timeout'>(resolve => {
+    clock.setTimer(settings.drainBoundMs, () => resolve('timeout'));
   });
   const idle = lifecycle.whenIdle().then(() => 'idle' as const);
-  const ended = await Promise.race([idle, bound]);
-  if (ended === 'idle') {
+  const outcome = await Promise.race([idle, deadline]);
+  if (outcome === 'idle') {
     logger.info('drain-finished');
     return;
   }
--- a/packages/banyanfold-entry/src/lifecycle.ts
+++ b/packages/banyanfold-entry/src/lifecycle.ts
@@ -1,9 +1,9 @@
 import type {ServerResponse} from 'node:http';
 
-/** Whether this entry leaves, and what is still open at it. */
+/** Tracks whether this entry is leaving, and its open requests. */
 export class Lifecycle {
   private isLeaving = false;
-  private readonly unanswered = new Set<ServerResponse>();
+  private readonly pendingResponses = new Set<ServerResponse>();
   private openRequests = 0;
   private idleWaiters: Array<() => void> = [];
 
@@ -12,19 +12,20 @@
   }
 
   /**
-   * From here on each answer closes its connection: a caller that kept it
-   * would keep coming to a VM that goes.
+   * Marks the entry as leaving. From then on each response closes its
+   * connection; otherwise callers would keep sending requests over kept-alive
+   * connections to a VM that is shutting down.
    */
   leave(): void {
     this.isLeaving = true;
-    for (const res of this.unanswered) closeAfter(res);
+    for (const res of this.pendingResponses) closeConnectionAfter(res);
   }
 
-  /** Called for each request of any kind when it comes. */
+  /** Registers the response of each incoming request of any kind. */
   responseOpened(res: ServerResponse): void {
-    if (this.isLeaving) closeAfter(res);
-    this.unanswered.add(res);
-    res.once('close', () => this.unanswered.delete(res));
+    if (this.isLeaving) closeConnectionAfter(res);
+    this.pendingResponses.add(res);
+    res.once('close', () => this.pendingResponses.delete(res));
   }
 
   get openRequestCount(): number {
@@ -38,16 +39,16 @@
   requestClosed(): void {
     this.openRequests--;
     if (this.openRequests > 0) return;
-    for (const wake of this.idleWaiters.splice(0)) wake();
+    for (const resolveWaiter of this.idleWaiters.splice(0)) resolveWaiter();
   }
 
-  /** Resolves when no request is open. */
+  /** Resolves as soon as no request is open. */
   whenIdle(): Promise<void> {
     if (this.openRequests === 0) return Promise.resolve();
     return new Promise(resolve => this.idleWaiters.push(resolve));
   }
 }
 
-function closeAfter(res: ServerResponse): void {
+function closeConnectionAfter(res: ServerResponse): void {
   if (!res.headersSent) res.setHeader('connection', 'close');
 }
--- a/packages/banyanfold-entry/src/plugins/demandMeter.ts
+++ b/packages/banyanfold-entry/src/plugins/demandMeter.ts
@@ -2,22 +2,22 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Counts of one source, by artifact; they start again when it restarts. */
-interface CounterSource {
+/** Counters of one source, by artifact; a restart resets them. */
+interface CounterSnapshot {
   incarnation: number;
   counts: Record<string, number>;
 }
 
-/** Measures demand for each artifact from counters that only rise. */
+/** Measures demand for each artifact from monotonic counters. */
 export class DemandMeter {
-  private readonly served = new Map<string, CounterSource>();
-  private readonly missed = new Map<string, CounterSource>();
-  /** Since the last window was closed. */
+  private readonly served = new Map<string, CounterSnapshot>();
+  private readonly missed = new Map<string, CounterSnapshot>();
+  /** Requests since the last window ended. */
   private readonly newRequests = new Map<string, number>();
-  /** Since the last decision took them, which need not be the same moment. */
-  private readonly untakenMisses = new Map<string, number>();
+  /** Misses since the last `takeMisses`, independent of the windows. */
+  private readonly unreadMisses = new Map<string, number>();
   private readonly ratePerSecond = new Map<string, number>();
-  private lastMs: number | undefined;
+  private windowStartMs: number | undefined;
 
   constructor(private readonly halfLifeMs: number) {}
 
@@ -32,31 +32,31 @@
     const source = {incarnation: 0, counts};
     const increases = takeIncreases(this.missed, vmId, source);
     addCounts(this.newRequests, increases);
-    addCounts(this.untakenMisses, increases);
+    addCounts(this.unreadMisses, increases);
   }
 
-  /** Ends a window; what came since the last one enters the rates. */
+  /** Ends a window and adds its requests to the smoothed rates. */
   endWindow(nowMs: number): void {
-    const elapsedMs = nowMs - (this.lastMs ?? nowMs);
-    this.lastMs = nowMs;
+    const elapsedMs = nowMs - (this.windowStartMs ?? nowMs);
+    this.windowStartMs = nowMs;
     if (elapsedMs > 0) this.smooth(elapsedMs);
     this.newRequests.clear();
   }
 
-  /** Smoothed requests a second, answered ones and missed ones. */
+  /** The smoothed rate of requests, both served and missed. */
   demandPerSecond(artifact: string): number {
     return this.ratePerSecond.get(artifact) ?? 0;
   }
 
-  /** Requests refused for lack of a copy since the last call. */
+  /** Requests refused for lack of a copy since the last call, by artifact. */
   takeMisses(): Map<string, number> {
-    const misses = new Map(this.untakenMisses);
-    this.untakenMisses.clear();
+    const misses = new Map(this.unreadMisses);
+    this.unreadMisses.clear();
     return misses;
   }
 
   private smooth(elapsedMs: number): void {
-    const kept = 0.5 ** (elapsedMs / this.halfLifeMs);
+    const retainedShare = 0.5 ** (elapsedMs / this.halfLifeMs);
     const perSecond = MS_PER_SECOND / elapsedMs;
     const artifacts = new Set([
       ...this.ratePerSecond.keys(),
@@ -64,21 +64,22 @@
     ]);
     for (const artifact of artifacts) {
       const count = this.newRequests.get(artifact) ?? 0;
-      const before = this.ratePerSecond.get(artifact) ?? 0;
-      const rate = before * kept + count * perSecond * (1 - kept);
+      const previousRate = this.ratePerSecond.get(artifact) ?? 0;
+      const rate =
+        previousRate * retainedShare + count * perSecond * (1 - retainedShare);
       this.ratePerSecond.set(artifact, rate);
     }
   }
 }
 
 /**
- * What a source counted since it was last seen. A source seen for the first
- * time counts nothing: its whole past would look like a burst of now.
+ * Returns the increase of a source's counters since its last snapshot. The
+ * first snapshot gives no increase: its whole history would look like a burst.
  */
 function takeIncreases(
-  sources: Map<string, CounterSource>,
+  sources: Map<string, CounterSnapshot>,
   vmId: string,
-  source: CounterSource,
+  source: CounterSnapshot,
 ): Map<string, number> {
   const increases = new Map<string, number>();
   const known = sources.get(vmId);
@@ -86,19 +87,19 @@
   if (!known || known.incarnation > source.incarnation) return increases;
   const restarted = known.incarnation !== source.incarnation;
   for (const [artifact, count] of Object.entries(source.counts)) {
-    const before = restarted ? 0 : (known.counts[artifact] ?? 0);
-    // A peer entry that restarted shows a lower count and no incarnation.
-    const increase = count >= before ? count - before : count;
+    const previousCount = restarted ? 0 : (known.counts[artifact] ?? 0);
+    // A peer entry has no incarnation, so a lower count shows a restart.
+    const increase = count >= previousCount ? count - previousCount : count;
     if (increase > 0) increases.set(artifact, increase);
   }
   return increases;
 }
 
 function addCounts(
-  into: Map<string, number>,
+  target: Map<string, number>,
   counts: ReadonlyMap<string, number>,
 ): void {
   for (const [artifact, count] of counts) {
-    into.set(artifact, (into.get(artifact) ?? 0) + count);
+    target.set(artifact, (target.get(artifact) ?? 0) + count);
   }
 }
--- a/packages/banyanfold-entry/src/plugins/ejection.ts
+++ b/packages/banyanfold-entry/src/plugins/ejection.ts
@@ -2,7 +2,7 @@
 import {entryPlugins, type EntryContext, type EntryPlugin} from '../context.js';
 import {Poller} from '../view/poller.js';
 
-/** Creates the plug-in that leaves out slow and failing runners for a while. */
+/** Creates the plug-in that temporarily ejects slow and failing runners. */
 export function ejectionPlugin(context: EntryContext): EntryPlugin {
   const {clock, random, settings} = context;
   const poller = new Poller({
@@ -11,7 +11,7 @@
     intervalMs: settings.ejectionIntervalMs,
     maxBackoffMs: settings.ejectionIntervalMs,
     async poll() {
-      judgeRunners(context);
+      ejectOutliers(context);
       return true;
     },
   });
@@ -26,10 +26,11 @@
   };
 }
 
-function judgeRunners(context: EntryContext): void {
+function ejectOutliers(context: EntryContext): void {
   const {clock, logger, metrics, settings, view} = context;
-  // Without its role as the group, a runner of drafts looks slow beside those
-  // that answer the counter, and is left out though it is healthy.
+  // Runners are compared only with others of the same role. Otherwise a healthy
+  // runner whose role has longer requests, such as writing drafts, would look
+  // slow beside those that answer short ones, and be ejected.
   const outcomes = view.agents().map(agent => ({
     ...agent.readOutcomes(),
     peerGroup: agent.runner.runnerRole,
@@ -41,8 +42,8 @@
     logger.warn('runner-ejected', {agent: vmId, reason});
   }
   const {ejectionIntervalMs, outcomeHalfLifeMs} = settings;
-  const kept = 0.5 ** (ejectionIntervalMs / outcomeHalfLifeMs);
-  for (const agent of view.agents()) agent.decayOutcomes(kept);
+  const decayFactor = 0.5 ** (ejectionIntervalMs / outcomeHalfLifeMs);
+  for (const agent of view.agents()) agent.decayOutcomes(decayFactor);
 }
 
 entryPlugins.register('ejection', ejectionPlugin);
--- a/packages/banyanfold-entry/src/plugins/idempotency.ts
+++ b/packages/banyanfold-entry/src/plugins/idempotency.ts
@@ -19,27 +19,27 @@
 
 const IN_PROGRESS_RETRY_MS = 1000;
 const LOG_RETRY_MS = 2000;
-/** The answer in base64 and what stands around it in its record. */
-const KEPT_BODY_FACTOR = 1.5;
-const KEPT_BODY_OVERHEAD_BYTES = 512;
+/** Allows for base64 encoding and the other fields of the record. */
+const RECORDED_BODY_FACTOR = 1.5;
+const RECORDED_BODY_OVERHEAD_BYTES = 512;
 
-type Taken = Extract<ClaimOutcome, {kind: 'taken'}>;
+type TakenClaim = Extract<ClaimOutcome, {kind: 'taken'}>;
 
 /**
- * Runs a request that may not be repeated at most once.
+ * Runs a non-repeatable request at most once.
  *
- * The same key may come twice at once through two entries, or again after its
- * answer was lost. Only the owner of the key, by the log, dispatches; whoever
- * else comes gets what is known of that run.
+ * The same key may arrive concurrently at two entries, or again after its
+ * response was lost. Only the entry that owns the key according to the log
+ * dispatches the request; other calls receive what is known about that run.
  */
-class KeyGuard {
+class IdempotencyGuard {
   private readonly claims: KeyClaims;
-  private readonly ownRuns = new LocalRuns();
-  private readonly notes: KeyOutcomeRecorder;
+  private readonly localRuns = new LocalRuns();
+  private readonly outcomeRecorder: KeyOutcomeRecorder;
 
   constructor(private readonly context: EntryContext) {
     const {settings, log, clock, logger, random} = context;
-    this.notes = new KeyOutcomeRecorder(context);
+    this.outcomeRecorder = new KeyOutcomeRecorder(context);
     this.claims = new KeyClaims({
       log,
       clock,
@@ -49,7 +49,8 @@
       retentionMs: settings.logRetentionMs,
       horizonMs: settings.keyHorizonMs,
       bodyLimitBytes:
-        settings.keyBodyBytes * KEPT_BODY_FACTOR + KEPT_BODY_OVERHEAD_BYTES,
+        settings.keyBodyBytes * RECORDED_BODY_FACTOR +
+        RECORDED_BODY_OVERHEAD_BYTES,
     });
   }
 
@@ -58,7 +59,7 @@
   }
 
   async stop(): Promise<void> {
-    await this.notes.stop();
+    await this.outcomeRecorder.stop();
     this.claims.stop();
   }
 
@@ -72,9 +73,9 @@
       );
     }
     const claimed = await this.claims.claim(key);
-    if (claimed.isErr()) throw this.claimError(claimed.error);
+    if (claimed.isErr()) throw this.toApiError(claimed.error);
     const outcome = claimed.value;
-    if (outcome.kind === 'taken') return this.answerTaken(job, key, outcome);
+    if (outcome.kind === 'taken') return this.answerTakenKey(job, key, outcome);
     return this.dispatch(job, key, outcome.claimOffset, next);
   }
 
@@ -84,61 +85,71 @@
     claimOffset: number,
     next: NextStep,
   ): Promise<RequestResult> {
-    this.ownRuns.set(key, {kind: 'running'});
+    this.localRuns.set(key, {kind: 'running'});
     try {
       const result = await next();
-      this.note(job, key, claimOffset, result);
+      this.recordOutcome(job, key, claimOffset, result);
       return result;
     } catch (error) {
-      // Whatever went wrong here, it may have run.
-      this.note(job, key, claimOffset, {kind: 'broken', reason: 'internal'});
+      // The request may have run, whatever the error was.
+      this.recordOutcome(job, key, claimOffset, {
+        kind: 'broken',
+        reason: 'internal',
+      });
       throw error;
     }
   }
 
-  /** The caller's answer doesn't wait for these: it is final already. */
-  private note(
+  /** Writes the outcome to the log without delaying the caller's response. */
+  private recordOutcome(
     job: RequestJob,
     key: string,
     claimOffset: number,
     result: RequestResult,
   ): void {
     if (neverRan(job, result)) {
-      this.ownRuns.set(key, {kind: 'releasing'});
-      void this.notes
+      this.localRuns.set(key, {kind: 'releasing'});
+      void this.outcomeRecorder
         .record(() => this.claims.release(key, claimOffset))
-        .then(isReleased => isReleased && this.ownRuns.delete(key));
+        .then(isReleased => isReleased && this.localRuns.delete(key));
       return;
     }
     const {keyBodyBytes} = this.context.settings;
     const run = toFinishedRun(job, result, keyBodyBytes);
-    this.ownRuns.set(key, {kind: 'finished', run});
-    void this.notes.record(() => this.claims.finish(key, run));
+    this.localRuns.set(key, {kind: 'finished', run});
+    void this.outcomeRecorder.record(() => this.claims.finish(key, run));
   }
 
-  private answerTaken(
+  private answerTakenKey(
     job: RequestJob,
     key: string,
-    {finished}: Taken,
+    {finished}: TakenClaim,
   ): RequestResult {
-    const own = this.ownRuns.get(key);
-    const run = own?.kind === 'finished' ? own.run : finished;
+    const localRun = this.localRuns.get(key);
+    const run = localRun?.kind === 'finished' ? localRun.run : finished;
     if (run) return {kind: 'answer', answer: recordedAnswer(job, run)};
-    if (!own && !this.mayStillRun(job, key)) throw outcomeUnknownError();
-    throw new ApiError('key_in_progress', 'it is being run under this key', {
-      outcome: 'unknown',
-      retryAfterMs: IN_PROGRESS_RETRY_MS,
-    });
+    if (!localRun && !this.mayStillRun(job, key)) throw outcomeUnknownError();
+    throw new ApiError(
+      'key_in_progress',
+      'a request with this key is in progress',
+      {
+        outcome: 'unknown',
+        retryAfterMs: IN_PROGRESS_RETRY_MS,
+      },
+    );
   }
 
-  /** No run takes longer, from its key's making to its record in the log. */
+  /**
+   * Whether the run may still be in progress. From the creation of its key to
+   * its record in the log, no run takes longer than this.
+   */
   private mayStillRun(job: RequestJob, key: string): boolean {
     const keyMs = readTimedKey(key)?.keyMs ?? 0;
     const {wholeAnswerMs} = job.target.selector.targets;
     return this.context.clock.wallMs() - keyMs < 2 * wholeAnswerMs;
   }
 
-  private claimError(error: BanyanfoldError): ApiError {
+  private toApiError(error: BanyanfoldError): ApiError {
     this.context.logger.warn('claim-failed', {
       code: error.code,
       step: error.step,
@@ -146,26 +157,26 @@
     });
     const known = CLAIM_ERRORS[error.code];
     if (known) return new ApiError(known.code, known.message, known);
-    // This call ran nothing. An earlier one with the same key may have run
-    // through another entry since the claims were last read here, and "not
-    // run" would make a desk tell its member that nothing was lodged.
+    // This call ran nothing, but an earlier call with the same key may have run
+    // through another entry since the claims were last read here. With "not
+    // run" the caller would wrongly conclude that nothing was done.
     return new ApiError(
       'log_unavailable',
-      'keys cannot be claimed now; this call ran nothing, but whether an ' +
-        'earlier one with the same key ran is not known; send it again with ' +
-        'the same key',
+      'keys cannot be claimed now; this call ran nothing, but an earlier ' +
+        'call with the same key may have run; send it again with the same ' +
+        'key',
       {outcome: 'unknown', retryAfterMs: LOG_RETRY_MS},
     );
   }
 }
 
-interface ClaimErrorAnswer {
+interface ClaimErrorResponse {
   code: ApiErrorCode;
   message: string;
   outcome: 'not-run' | 'unknown';
 }
 
-const CLAIM_ERRORS: Record<string, ClaimErrorAnswer | undefined> = {
+const CLAIM_ERRORS: Record<string, ClaimErrorResponse | undefined> = {
   'key-not-uuidv7': {
     code: 'invalid_idempotency_key',
     message: 'the key must be a UUIDv7',
@@ -176,7 +187,7 @@
     message: "the key's time is ahead of the log's clock",
     outcome: 'not-run',
   },
-  // Its record may be gone from the log by now, and it may have run.
+  // The request may have run, and its record may have expired from the log.
   'key-too-old': {
     code: 'key_outcome_unknown',
     message: 'the key is too old to tell whether it ran; it will not run now',
@@ -184,15 +195,15 @@
   },
 };
 
-/** Whether it is proved that no attempt of the request ever started. */
+/** Whether it is certain that no attempt of the request has started. */
 function neverRan(job: RequestJob, result: RequestResult): boolean {
   if (result.kind === 'failed') return result.error.outcome === 'not-run';
   return result.kind === 'caller-gone' && job.attempts === 0;
 }
 
-/** Creates the plug-in that guards requests which may not be repeated. */
+/** Creates the plug-in that runs non-repeatable requests at most once. */
 export function idempotencyPlugin(context: EntryContext): EntryPlugin {
-  const guard = new KeyGuard(context);
+  const guard = new IdempotencyGuard(context);
   return {
     name: 'idempotency',
     guardsNonRepeatable: true,
--- a/packages/banyanfold-entry/src/plugins/keyOutcome.ts
+++ b/packages/banyanfold-entry/src/plugins/keyOutcome.ts
@@ -11,19 +11,19 @@
 const UNKNOWN_STATUS = 502;
 const STREAMED_STATUS = 200;
 
-/** What is kept of a run with its key, in the body of the log's record. */
-const keptOutcomeSchema = z.object({
-  /** Tells the request that the key was first used for. */
+/** The outcome of a run, stored as the body of its key's log record. */
+const recordedOutcomeSchema = z.object({
+  /** Identifies the request that the key was first used for. */
   fingerprint: z.string(),
   outcome: z.enum(['finished', 'unknown']),
   contentType: z.string().default('application/json'),
-  /** Base64; left out when the answer was streamed or too large. */
+  /** Base64; omitted if the answer was streamed or is too large. */
   body: z.string().optional(),
 });
 
-type KeptOutcome = z.infer<typeof keptOutcomeSchema>;
+type RecordedOutcome = z.infer<typeof recordedOutcomeSchema>;
 
-/** The record of a run, or undefined when nothing of it is to be kept. */
+/** Encodes the outcome of a run; bodies over the limit are omitted. */
 export function toFinishedRun(
   job: RequestJob,
   result: RequestResult,
@@ -48,31 +48,32 @@
 }
 
 /**
- * The answer to another caller of a finished key.
+ * Returns the recorded answer for another call with a finished key.
  *
- * A key that two requests share by mistake must not hand one's answer to the
- * other, so the fingerprint of caller, path and body has to agree.
+ * Two different requests that use one key by mistake must not receive each
+ * other's answer, so the fingerprint of caller, path and body must match.
  *
- * @throws ApiError when there is no answer that may be given.
+ * @throws ApiError if the key was used for another request, the outcome is
+ *     unknown or the answer wasn't stored.
  */
 export function recordedAnswer(job: RequestJob, run: FinishedRun): WholeAnswer {
-  const kept = decode(run.body);
-  if (kept && kept.fingerprint !== fingerprintOf(job)) {
+  const recorded = decode(run.body);
+  if (recorded && recorded.fingerprint !== fingerprintOf(job)) {
     throw new ApiError('key_reused', 'the key was used for another request');
   }
-  if (kept?.outcome === 'unknown') throw outcomeUnknownError();
-  if (kept?.body === undefined) {
+  if (recorded?.outcome === 'unknown') throw outcomeUnknownError();
+  if (recorded?.body === undefined) {
     throw new ApiError(
       'key_already_finished',
-      `it ran already, with status ${run.status}; its answer isn't kept`,
+      `it already ran, with status ${run.status}; its answer isn't stored`,
       {outcome: 'unknown'},
     );
   }
-  const body = Buffer.from(kept.body, 'base64');
+  const body = Buffer.from(recorded.body, 'base64');
   return {
     status: run.status,
     headers: {
-      'content-type': kept.contentType,
+      'content-type': recorded.contentType,
       'content-length': String(body.length),
     },
     body,
@@ -82,8 +83,8 @@
 export function outcomeUnknownError(): ApiError {
   return new ApiError(
     'key_outcome_unknown',
-    'it was dispatched already and its outcome is not known; it will not run ' +
-      'again under this key',
+    'the request was already dispatched and its outcome is unknown; it will ' +
+      'not run again with this key',
     {outcome: 'unknown'},
   );
 }
@@ -95,14 +96,14 @@
     .digest('hex');
 }
 
-function encode(status: number, kept: KeptOutcome): FinishedRun {
-  return {status, body: JSON.stringify(kept)};
+function encode(status: number, recorded: RecordedOutcome): FinishedRun {
+  return {status, body: JSON.stringify(recorded)};
 }
 
-function decode(text: string | undefined): KeptOutcome | undefined {
+function decode(text: string | undefined): RecordedOutcome | undefined {
   if (text === undefined) return undefined;
   try {
-    return keptOutcomeSchema.safeParse(JSON.parse(text)).data;
+    return recordedOutcomeSchema.safeParse(JSON.parse(text)).data;
   } catch {
     return undefined;
   }
--- a/packages/banyanfold-entry/src/plugins/keyOutcomeRecorder.ts
+++ b/packages/banyanfold-entry/src/plugins/keyOutcomeRecorder.ts
@@ -7,9 +7,9 @@
 type Append = () => ResultAsync<unknown, BanyanfoldError>;
 
 /**
- * Brings what came of keys to the log, however long that is out: a claim that
- * was lodged in an outage would otherwise stay "outcome unknown" for all who
- * ask another entry. The records are idempotent, so they may be repeated.
+ * Writes the outcomes of keys to the log and retries through log outages.
+ * Without a record, the outcome of a request that ran during an outage would
+ * stay unknown at all other entries. The records are idempotent, so a retry is safe.
  */
 export class KeyOutcomeRecorder {
   private readonly inFlight = new Set<Promise<unknown>>();
@@ -17,14 +17,17 @@
 
   constructor(private readonly context: EntryContext) {}
 
-  /** Appends now or later; resolves to whether it got there. */
+  /**
+   * Appends a record, with retries until `keyHorizonMs` have passed or the
+   * recorder is stopped. Resolves to whether the record was appended.
+   */
   async record(append: Append): Promise<boolean> {
     const {clock, logger, random, settings} = this.context;
-    const endMs = clock.nowMs() + settings.keyHorizonMs;
+    const deadlineMs = clock.nowMs() + settings.keyHorizonMs;
     for (;;) {
-      const failure = await this.tryOnce(append);
+      const failure = await this.tryAppend(append);
       if (!failure) return true;
-      if (this.stopped || clock.nowMs() > endMs) {
+      if (this.stopped || clock.nowMs() > deadlineMs) {
         const {code, step, peer} = failure;
         logger.error('key-outcome-lost', {code, step, peer});
         return false;
@@ -33,13 +36,15 @@
     }
   }
 
-  /** Waits for the tries that are on their way; makes no further ones. */
+  /** Waits for appends in flight and stops retrying. */
   async stop(): Promise<void> {
     this.stopped = true;
     await Promise.all(this.inFlight);
   }
 
-  private async tryOnce(append: Append): Promise<BanyanfoldError | undefined> {
+  private async tryAppend(
+    append: Append,
+  ): Promise<BanyanfoldError | undefined> {
     const outcome = append().match(
       () => undefined,
       error => error,
--- a/packages/banyanfold-entry/src/plugins/localRuns.ts
+++ b/packages/banyanfold-entry/src/plugins/localRuns.ts
@@ -2,17 +2,17 @@
 
 const MAX_FINISHED = 1000;
 
-/** What this process knows of a key that it owns. */
+/** The state of a request that this process runs under its own key. */
 export type LocalRun =
   | {kind: 'running'}
-  /** It never ran, and the record that gives the key back is on its way. */
+  /** It never ran; the record that releases the key is being appended. */
   | {kind: 'releasing'}
   | {kind: 'finished'; run: FinishedRun};
 
 /**
- * The keys that this process owns. Its records reach the log, and come back
- * from there, after the answer has gone to the caller; a call that comes
- * between would be told that the outcome is unknown while it is known here.
+ * The runs whose keys this process owns. Their records are appended to and read
+ * back from the log only after the caller has its answer. Without this map, a
+ * call in between would get "outcome unknown", although it is known here.
  */
 export class LocalRuns {
   private readonly runs = new Map<string, LocalRun>();
@@ -31,7 +31,7 @@
     this.runs.delete(key);
   }
 
-  /** By then the log has had their records for long. */
+  /** The log has held the records of the oldest runs for a long time. */
   private dropOldestFinished(): void {
     if (this.runs.size <= MAX_FINISHED) return;
     for (const [key, {kind}] of this.runs) {
--- a/packages/banyanfold-entry/src/plugins/metrics.ts
+++ b/packages/banyanfold-entry/src/plugins/metrics.ts
@@ -1,6 +1,6 @@
 import {entryPlugins, type EntryContext, type EntryPlugin} from '../context.js';
 
-/** Creates the plug-in that measures what operators watch. */
+/** Creates the plug-in that exports the metrics of requests and of the view. */
 export function metricsPlugin(context: EntryContext): EntryPlugin {
   const {metrics, clock, lifecycle, configWatch, view} = context;
   return {
--- a/packages/banyanfold-entry/src/plugins/placementView.ts
+++ b/packages/banyanfold-entry/src/plugins/placementView.ts
@@ -10,22 +10,22 @@
 import type {DemandMeter} from './demandMeter.js';
 import type {ServiceTimes} from './serviceTimes.js';
 
-/** What the planner has measured of each artifact. */
+/** Measurements of the planner, by artifact. */
 export interface ArtifactMeasurements {
   demand: DemandMeter;
   serviceTimes: ServiceTimes;
 }
 
-/** A move that an agent accepted, until its reports show it. */
+/** A move that an agent accepted but hasn't reported yet. */
 export interface PendingMove {
   move: Move;
   copyId: string;
-  /** The agent's digest when the move was accepted. */
+  /** Position of the agent's digest when the move was proposed. */
   incarnation: number;
   sequence: number;
 }
 
-/** Whether the agent has reported since it accepted the move. */
+/** Whether the agent's report is newer than the move. */
 export function isReported(pending: PendingMove, agent: AgentState): boolean {
   const {report} = agent;
   if (!report) return false;
@@ -34,8 +34,9 @@
 }
 
 /**
- * Whether each live agent was heard or given up. A planner that starts before
- * would take the copies of those not heard yet for missing, and load them all.
+ * Whether each live agent has reported or is considered unreachable. A planner
+ * that starts earlier would treat the copies of the other agents as missing and
+ * load all of them again.
  */
 export function isViewComplete(context: EntryContext): boolean {
   const {view, settings} = context;
@@ -50,7 +51,10 @@
   );
 }
 
-/** Collects what the placement decision looks at. */
+/**
+ * Builds the input of the placement decision from reports, demand and pending
+ * moves. Takes the misses of the demand meter.
+ */
 export function buildPlacementView(
   context: EntryContext,
   {demand, serviceTimes}: ArtifactMeasurements,
--- a/packages/banyanfold-entry/src/plugins/planner.ts
+++ b/packages/banyanfold-entry/src/plugins/planner.ts
@@ -26,7 +26,7 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-/** Plans placement while this entry is the one that the VM list names. */
+/** Plans placement while this entry is selected by the VM list. */
 class Planner {
   readonly epoch: PlannerEpoch;
   private readonly meter: DemandMeter;
@@ -34,49 +34,52 @@
   private pending: PendingMove[] = [];
   private lastLoadMs = -Infinity;
   private lastRoleChangeMs = -Infinity;
-  private unplacedLine = '';
+  private lastUnplacedSummary = '';
 
   constructor(private readonly context: EntryContext) {
     this.epoch = new PlannerEpoch(context);
     this.meter = new DemandMeter(context.settings.planner.demandHalfLifeMs);
   }
 
-  /** One round; every entry measures demand, so that any can take over. */
+  /** Runs one round. Every entry measures demand, so that any can take over. */
   async plan(): Promise<boolean> {
     const {context} = this;
     context.metrics.count('planner_rounds_total');
-    this.noteDemand();
+    this.recordDemand();
     this.epoch.refresh();
     if (this.epoch.current === 0) {
-      // The planner has heard of them. Kept until this entry takes over, they
-      // would count as callers that wait then.
+      // The active planner fetches these misses. If they were kept until this
+      // entry takes over, they would count as requests that wait then.
       this.meter.takeMisses();
       return true;
     }
-    await this.askPeersForMisses();
+    await this.fetchPeerMisses();
     const isReady = context.configWatch.ready && isViewComplete(context);
     if (!isReady) return true;
     const viewedAtMs = context.configWatch.logNowMs;
-    await this.send(this.decide(), viewedAtMs);
+    await this.proposeMoves(this.decide(), viewedAtMs);
     return true;
   }
 
   /**
-   * Runs a request and learns how long its answer took. A request that was
-   * tried more than once is left out: its time is not that of one answer.
+   * Runs a request and records its service time. Requests with several attempts
+   * are excluded, since their time covers more than one answer.
    */
-  async measure(job: RequestJob, next: NextStep): Promise<RequestResult> {
+  async measureServiceTime(
+    job: RequestJob,
+    next: NextStep,
+  ): Promise<RequestResult> {
     const {clock} = this.context;
     const startedMs = clock.nowMs();
     const result = await next();
-    if (job.attempts === 1 && isAnswered(result)) {
+    if (job.attempts === 1 && isSuccessful(result)) {
       const tookMs = clock.nowMs() - startedMs;
       this.serviceTimes.record(job.target.artifact, tookMs);
     }
     return result;
   }
 
-  private noteDemand(): void {
+  private recordDemand(): void {
     const {view, misses, settings, clock} = this.context;
     for (const {report} of view.agents()) {
       if (report) this.meter.recordReport(report);
@@ -85,7 +88,7 @@
     this.meter.endWindow(clock.nowMs());
   }
 
-  private async askPeersForMisses(): Promise<void> {
+  private async fetchPeerMisses(): Promise<void> {
     const {settings, view} = this.context;
     const peers = view.peers().filter(vm => vm.state === 'live');
     await Promise.allSettled(
@@ -101,7 +104,7 @@
     const {context} = this;
     const {loadsPerSecond, loadsAtOnce, attainmentWeight, moveWeight} =
       context.settings.planner;
-    this.dropReported();
+    this.dropReportedMoves();
     const view = buildPlacementView(
       context,
       {demand: this.meter, serviceTimes: this.serviceTimes},
@@ -120,7 +123,7 @@
     return decision;
   }
 
-  private dropReported(): void {
+  private dropReportedMoves(): void {
     const {view} = this.context;
     this.pending = this.pending.filter(pending => {
       const agent = view.agent(pending.move.vmId);
@@ -128,7 +131,7 @@
     });
   }
 
-  private async send(
+  private async proposeMoves(
     {moves}: PlacementDecision,
     viewedAtMs: number | undefined,
   ): Promise<void> {
@@ -150,14 +153,14 @@
     const proposalId = uuidV4();
     const {incarnation} = agent;
     const sequence = agent.digest?.sequence ?? 0;
-    const {reason, vmId: _vmId, ...what} = move;
+    const {reason, vmId: _vmId, ...proposal} = move;
     const result = await context.clients
       .clientFor(agent)
       .propose.mutate({
         proposalId,
         plannerEpoch: this.epoch.current,
         viewedAtMs,
-        ...what,
+        ...proposal,
       })
       .catch((error: unknown) => ({
         accepted: false,
@@ -182,23 +185,23 @@
     this.pending.push({move, copyId: proposalId, incarnation, sequence});
   }
 
-  /** The same list each second would hide everything else in the log. */
+  /** Logs the unplaced artifacts only on a change; rounds are frequent. */
   private logUnplaced({unplaced}: PlacementDecision): void {
-    const line = unplaced
+    const summary = unplaced
       .map(({artifact, reason}) => `${artifact}:${reason}`)
       .join(',');
-    if (line === this.unplacedLine) return;
-    this.unplacedLine = line;
-    this.context.logger.warn('unplaced', {artifacts: line || 'none'});
+    if (summary === this.lastUnplacedSummary) return;
+    this.lastUnplacedSummary = summary;
+    this.context.logger.warn('unplaced', {artifacts: summary || 'none'});
   }
 }
 
-function isAnswered(result: RequestResult): boolean {
+function isSuccessful(result: RequestResult): boolean {
   if (result.kind === 'streamed') return true;
   return result.kind === 'answer' && result.answer.status < FIRST_ERROR_STATUS;
 }
 
-/** Creates the plug-in that plans placement. */
+/** Creates the plug-in that plans which runner loads which artifact. */
 export function plannerPlugin(context: EntryContext): EntryPlugin {
   const {clock, random, settings} = context;
   const planner = new Planner(context);
@@ -217,7 +220,7 @@
     async stop() {
       poller.stop();
     },
-    aroundRequest: (job, next) => planner.measure(job, next),
+    aroundRequest: (job, next) => planner.measureServiceTime(job, next),
     plannerEpoch: () => planner.epoch.current,
   };
 }
--- a/packages/banyanfold-entry/src/plugins/plannerEpoch.ts
+++ b/packages/banyanfold-entry/src/plugins/plannerEpoch.ts
@@ -6,9 +6,9 @@
 const MAX_CLAIM_BACKOFF_MS = 30_000;
 
 /**
- * The epoch this entry plans with. Two entries with different VM lists may
- * both think that they plan; agents refuse the lower epoch, so the worst is a
- * few moves too many.
+ * Claims and holds the epoch under which this entry plans. Two entries with
+ * different VM lists may both consider themselves the planner; agents refuse
+ * the lower epoch, so the worst effect is a few superfluous moves.
  */
 export class PlannerEpoch {
   private epoch = 0;
@@ -18,29 +18,29 @@
 
   constructor(private readonly context: EntryContext) {}
 
-  /** 0 while this entry doesn't plan. */
+  /** The current epoch; 0 while this entry isn't the planner. */
   get current(): number {
     return this.epoch;
   }
 
-  /** Keeps, claims or gives up the epoch, as the VM list has it now. */
+  /** Keeps, claims or drops the epoch according to the current VM list. */
   refresh(): void {
-    if (!this.isChosen()) {
+    if (!this.isSelected()) {
       this.epoch = 0;
       return;
     }
-    // While the log is out the epoch stays good: nobody can claim a higher
-    // one, and agents know it already.
+    // The epoch stays valid while the log is unavailable: no entry can claim a
+    // higher one, and the agents already know it.
     if (this.epoch === 0) this.claim();
   }
 
-  /** An agent has seen a higher one; claims again only after a while. */
+  /** Drops the epoch after an agent has seen a higher one; backs off. */
   invalidate(): void {
     this.epoch = 0;
     this.backOff();
   }
 
-  private isChosen(): boolean {
+  private isSelected(): boolean {
     const {view, settings, lifecycle} = this.context;
     const candidates = view.plannerCandidates(lifecycle.leaving);
     return rendezvousOrder('planner', candidates)[0] === settings.vmId;
@@ -67,8 +67,8 @@
 
   private backOff(): void {
     const {clock, random} = this.context;
-    const ceilingMs = CLAIM_BACKOFF_MS * 2 ** this.failures++;
-    const boundedMs = Math.min(MAX_CLAIM_BACKOFF_MS, ceilingMs);
-    this.nextClaimMs = clock.nowMs() + random() * boundedMs;
+    const uncappedMs = CLAIM_BACKOFF_MS * 2 ** this.failures++;
+    const cappedMs = Math.min(MAX_CLAIM_BACKOFF_MS, uncappedMs);
+    this.nextClaimMs = clock.nowMs() + random() * cappedMs;
   }
 }
--- a/packages/banyanfold-entry/src/view/agentClients.ts
+++ b/packages/banyanfold-entry/src/view/agentClients.ts
@@ -2,7 +2,7 @@
 import type {EntrySettings} from '../settings.js';
 import type {AgentState} from './agentState.js';
 
-/** The control clients of the agents, one for each address. */
+/** Creates and caches the control clients of agents, one per address. */
 export class AgentClients {
   private readonly clients = new Map<string, AgentClient>();
 
--- a/packages/banyanfold-entry/src/view/agentState.ts
+++ b/packages/banyanfold-entry/src/view/agentState.ts
@@ -8,26 +8,26 @@
 import type {RunnerOutcomes, RunnerView} from '@banyanfold/decisions';
 import type {Vm} from '@banyanfold/log';
 
-/** How much one new first-token time counts against the earlier ones. */
-const FIRST_TOKEN_WEIGHT = 0.2;
+/** Weight of a new sample in the smoothed first-token time. */
+const FIRST_TOKEN_SMOOTHING = 0.2;
 
-/** An agent doesn't restart more often than reports can be late. */
-const MAX_PAST_INCARNATIONS = 16;
+/** An agent restarts less often than this while a report is in flight. */
+const MAX_PREVIOUS_INCARNATIONS = 16;
 
 type MutableRunnerView = {
   -readonly [K in keyof RunnerView]: RunnerView[K];
 };
 
-/** All that this entry knows of one agent and its runner. */
+/** What this entry knows about one agent and its runner. */
 export class AgentState {
-  /** What routing sees; changed in place, so that routing copies nothing. */
+  /** The view for routing, updated in place to avoid copies per request. */
   readonly runner: MutableRunnerView;
   report: AgentReport | undefined;
   digest: LoadDigest | undefined;
   failedReports = 0;
   private vmLeaving = false;
-  private readonly pastIncarnations = new Set<number>();
-  private readonly unreported = new Set<string>();
+  private readonly previousIncarnations = new Set<number>();
+  private readonly unreportedAttempts = new Set<string>();
   private outcomes = {successes: 0, failures: 0, firstTokenMs: 0};
 
   constructor(public vm: Vm) {
@@ -39,19 +39,19 @@
     return this.vm.vmId;
   }
 
-  /** The incarnation to address; 0 before the first report. */
+  /** The incarnation to send requests to; 0 before the first report. */
   get incarnation(): number {
     return this.digest?.incarnation ?? 0;
   }
 
-  /** Takes what the VM list says; it may say "leaving" before the agent. */
+  /** Applies the VM list, which may report "leaving" before the agent does. */
   setVm(vm: Vm): void {
     this.vm = vm;
     this.vmLeaving = vm.state === 'leaving';
     this.runner.leaving = this.vmLeaving || this.digest?.leaving === true;
   }
 
-  /** The report held, which the next answer may build on. */
+  /** Identifies the stored report, so that the agent can send only changes. */
   reportCursor(): ReportCursor | undefined {
     if (!this.report) return undefined;
     const {incarnation, sequence} = this.report;
@@ -60,13 +60,13 @@
 
   applyReport(answer: AgentReport | ReportChanges, nowMs: number): void {
     this.failedReports = 0;
-    // Answers may have brought newer digests while this report travelled; its
-    // copies are still the newest known. Dropping it for that would keep a
-    // busy agent's copies unknown for ever.
+    // Response headers may have carried newer digests while this report was in
+    // flight, but its copies are still the newest known. If such reports were
+    // dropped, the copies of a busy agent would stay unknown.
     this.applyDigest(answer, nowMs);
     if (answer.incarnation !== this.incarnation) return;
     const held = this.report;
-    if (held && this.isOlder(answer, held)) return;
+    if (held && this.isStale(answer, held)) return;
     const report = completeReport(held, answer);
     if (!report) return;
     this.report = report;
@@ -78,13 +78,14 @@
   }
 
   /**
-   * Takes a digest, unless it is older than the one known: answers overtake
-   * each other, and an old digest would bring back an old queue.
+   * Applies a digest unless it is stale: responses can arrive out of order, and
+   * an older digest would restore an outdated queue length. Returns whether it
+   * was applied.
    */
   applyDigest(digest: LoadDigest, nowMs: number): boolean {
-    if (this.digest && this.isOlder(digest, this.digest)) return false;
+    if (this.digest && this.isStale(digest, this.digest)) return false;
     if (digest.incarnation !== this.incarnation) {
-      this.forgetIncarnation(digest.incarnation);
+      this.resetForIncarnation(digest.incarnation);
     }
     this.digest = digest;
     this.runner.reachable = true;
@@ -95,7 +96,7 @@
     this.runner.queueDelayMs = digest.queueDelayMs;
     this.runner.kvUsedBytes = digest.kvUsedBytes;
     this.runner.kvCapacityBytes = digest.kvCapacityBytes;
-    this.unreported.clear();
+    this.unreportedAttempts.clear();
     this.runner.ownUnreported = 0;
     return true;
   }
@@ -106,13 +107,13 @@
   }
 
   attemptSent(attemptId: string): void {
-    this.unreported.add(attemptId);
-    this.runner.ownUnreported = this.unreported.size;
+    this.unreportedAttempts.add(attemptId);
+    this.runner.ownUnreported = this.unreportedAttempts.size;
   }
 
   attemptEnded(attemptId: string): void {
-    this.unreported.delete(attemptId);
-    this.runner.ownUnreported = this.unreported.size;
+    this.unreportedAttempts.delete(attemptId);
+    this.runner.ownUnreported = this.unreportedAttempts.size;
   }
 
   recordSuccess(): void {
@@ -122,7 +123,7 @@
   recordFirstToken(tookMs: number): void {
     const {outcomes} = this;
     const isFirst = outcomes.firstTokenMs === 0;
-    const weight = isFirst ? 1 : FIRST_TOKEN_WEIGHT;
+    const weight = isFirst ? 1 : FIRST_TOKEN_SMOOTHING;
     outcomes.firstTokenMs += weight * (tookMs - outcomes.firstTokenMs);
   }
 
@@ -135,7 +136,7 @@
     return {vmId: this.vmId, ejectedUntilMs, ...this.outcomes};
   }
 
-  /** Lets outcomes so far count less; the smoothed time is kept. */
+  /** Decays the counts of outcomes; the smoothed first-token time is kept. */
   decayOutcomes(factor: number): void {
     this.outcomes.successes *= factor;
     this.outcomes.failures *= factor;
@@ -146,35 +147,36 @@
     this.outcomes = {successes: 0, failures: 0, firstTokenMs: 0};
   }
 
-  /** A new process beside the same server: its copies are not known yet. */
   /**
-   * A late report of a process that is gone must not bring its copies back. Its
-   * number alone doesn't tell: a process that started while the log was out
-   * has a provisional, negative one, and is newer than one with a number. So
-   * incarnations that were left are remembered, and only two with numbers from
-   * the log are compared.
+   * Whether a digest is older than the known one. A late report of a terminated
+   * process must not restore its copies. Incarnations can't always be compared:
+   * a process that started while the log was unavailable has a provisional,
+   * negative incarnation, and is newer than a predecessor with a positive one.
+   * So previous incarnations are remembered, and only two that the log assigned
+   * are compared.
    */
-  private isOlder(digest: LoadDigest, known: LoadDigest): boolean {
+  private isStale(digest: LoadDigest, known: LoadDigest): boolean {
     if (digest.incarnation === known.incarnation) {
       return digest.sequence <= known.sequence;
     }
-    if (this.pastIncarnations.has(digest.incarnation)) return true;
+    if (this.previousIncarnations.has(digest.incarnation)) return true;
     if (digest.incarnation < 0 || known.incarnation < 0) return false;
     return digest.incarnation < known.incarnation;
   }
 
-  private rememberIncarnation(): void {
+  private recordPreviousIncarnation(): void {
     if (this.incarnation === 0) return;
-    this.pastIncarnations.add(this.incarnation);
-    if (this.pastIncarnations.size <= MAX_PAST_INCARNATIONS) return;
-    const [oldest = 0] = this.pastIncarnations;
-    this.pastIncarnations.delete(oldest);
+    this.previousIncarnations.add(this.incarnation);
+    if (this.previousIncarnations.size <= MAX_PREVIOUS_INCARNATIONS) return;
+    const [oldest = 0] = this.previousIncarnations;
+    this.previousIncarnations.delete(oldest);
   }
 
-  private forgetIncarnation(next: number): void {
-    this.rememberIncarnation();
-    // A process that got its number from the log holds what it held; without
-    // its copies it would be no candidate until the next poll.
+  private resetForIncarnation(next: number): void {
+    this.recordPreviousIncarnation();
+    // The same process has received its incarnation from the log and keeps its
+    // copies; without them it would not be a candidate until the next poll. A
+    // new process starts with no known copies.
     if (this.incarnation < 0 && next > 0) return;
     this.report = undefined;
     this.runner.artifacts = new Set();
@@ -182,7 +184,7 @@
   }
 }
 
-/** Copies that can serve now, and the plain services beside the engine. */
+/** Artifacts of loaded copies, and services that run beside the engine. */
 function servableArtifacts(report: AgentReport): Set<string> {
   const held = report.copies.filter(copy => copy.state === 'held');
   return new Set([...held.map(copy => copy.artifact), ...report.services]);
--- a/packages/banyanfold-entry/src/view/clusterView.ts
+++ b/packages/banyanfold-entry/src/view/clusterView.ts
@@ -2,14 +2,14 @@
 import type {Vm, VmList} from '@banyanfold/log';
 import {AgentState} from './agentState.js';
 
-/** Where this entry stands. */
+/** The identity and location of this entry. */
 export interface EntryLocation {
   vmId: string;
   failureDomain: string;
   region: string;
 }
 
-/** What this entry knows of the other VMs. */
+/** What this entry knows about the other VMs. */
 export class ClusterView {
   private readonly agentsById = new Map<string, AgentState>();
   private runners: RunnerView[] = [];
@@ -18,12 +18,12 @@
 
   constructor(private readonly location: EntryLocation) {}
 
-  /** False until a VM list was read; the list itself may be empty. */
+  /** Whether a VM list, possibly an empty one, has been read. */
   get hasVmList(): boolean {
     return this.listAsOfMs > -Infinity;
   }
 
-  /** Takes a VM list, unless a newer one was taken before. */
+  /** Applies a VM list unless it is older than the current one. */
   applyVmList(list: VmList): boolean {
     if (list.asOfMs < this.listAsOfMs) return false;
     this.listAsOfMs = list.asOfMs;
@@ -48,12 +48,12 @@
     return this.agentsById.get(vmId);
   }
 
-  /** The other entries of the VM list, those that leave among them. */
+  /** The other entries of the VM list, including those that are leaving. */
   peers(): Vm[] {
     return this.peerEntries;
   }
 
-  /** The entries that may plan; this one counts unless it leaves. */
+  /** The live entries, any of which may plan; this one unless it is leaving. */
   plannerCandidates(selfLeaving: boolean): string[] {
     const others = this.peerEntries
       .filter(vm => vm.state === 'live')
@@ -66,7 +66,7 @@
     return {runners: this.runners, failureDomain, region};
   }
 
-  /** A VM id at another address is another VM under the same name. */
+  /** A known VM id at a new address is a different VM with the same id. */
   private applyAgentVm(vm: Vm): void {
     const known = this.agentsById.get(vm.vmId);
     const moved =
--- a/packages/banyanfold-entry/src/view/poller.ts
+++ b/packages/banyanfold-entry/src/view/poller.ts
@@ -1,20 +1,20 @@
 import type {Clock, Timer} from '@banyanfold/core';
 
-/** What a poller does and how often. */
+/** The call that a poller repeats, and its timing. */
 export interface PollerOptions {
   clock: Clock;
   random: () => number;
   intervalMs: number;
-  /** The pause after failures doubles up to this. */
+  /** Upper limit of the pause, which doubles with each failure. */
   maxBackoffMs: number;
-  /** True when it went well. */
+  /** Resolves to whether the call succeeded. */
   poll(): Promise<boolean>;
 }
 
 /**
- * Repeats one call with a pause after each, so that at most one is open.
- * After failures it backs off with full jitter: when a platform service
- * returns from an outage, the pollers of all VMs must not come together.
+ * Repeats a call with a pause after each, so that at most one is in flight.
+ * After failures it backs off with jitter, so that the pollers of all VMs don't
+ * call a platform service at the same moment when it recovers from an outage.
  */
 export class Poller {
   private failures = 0;
@@ -23,7 +23,7 @@
 
   constructor(private readonly options: PollerOptions) {}
 
-  /** Polls once, and then again and again until stopped. */
+  /** Resolves after the first poll; polling goes on until `stop`. */
   async start(): Promise<void> {
     await this.run();
   }
--- a/packages/banyanfold-entry/src/view/reportPoller.ts
+++ b/packages/banyanfold-entry/src/view/reportPoller.ts
@@ -5,7 +5,7 @@
 import type {AgentState} from './agentState.js';
 import type {ClusterView} from './clusterView.js';
 
-/** What polling agents needs. */
+/** Dependencies of a report poller. */
 export interface ReportPollerOptions {
   settings: EntrySettings;
   clock: Clock;
@@ -13,16 +13,16 @@
   view: ClusterView;
 }
 
-/** Asks every agent for its report; one question is open at an agent. */
+/** Polls the agents' reports, with at most one request per agent in flight. */
 export class ReportPoller {
-  private readonly open = new Set<string>();
+  private readonly inFlight = new Set<string>();
 
   constructor(
     private readonly options: ReportPollerOptions,
     private readonly clients: AgentClients,
   ) {}
 
-  /** Resolves when every agent has answered or failed. */
+  /** Resolves when the poll of every agent has succeeded or failed. */
   async pollAll(): Promise<boolean> {
     const agents = this.options.view.agents();
     await Promise.all(agents.map(agent => this.pollOne(agent)));
@@ -30,24 +30,24 @@
   }
 
   private async pollOne(agent: AgentState): Promise<void> {
-    if (this.open.has(agent.vmId)) return;
-    this.open.add(agent.vmId);
+    if (this.inFlight.has(agent.vmId)) return;
+    this.inFlight.add(agent.vmId);
     try {
       const report = await askReport(
         this.clients.clientFor(agent),
         agent.reportCursor(),
       );
-      // A reused address may answer for another VM; its copies aren't ours.
+      // A reused address may belong to another VM with other copies.
       if (report.vmId !== agent.vmId) throw new Error('report of another VM');
       agent.applyReport(report, this.options.clock.nowMs());
     } catch (error) {
-      this.noteFailure(agent, error);
+      this.recordFailure(agent, error);
     } finally {
-      this.open.delete(agent.vmId);
+      this.inFlight.delete(agent.vmId);
     }
   }
 
-  private noteFailure(agent: AgentState, error: unknown): void {
+  private recordFailure(agent: AgentState, error: unknown): void {
     const wasReachable = agent.runner.reachable;
     agent.reportFailed(this.options.settings.unreachableAfter);
     if (!wasReachable || agent.runner.reachable) return;
--- a/packages/banyanfold-entry/src/view/viewPollers.ts
+++ b/packages/banyanfold-entry/src/view/viewPollers.ts
@@ -6,7 +6,7 @@
 
 const MAX_VM_LIST_BACKOFF_MS = 10_000;
 
-/** Keeps the view up to date from the VM list and the agents' reports. */
+/** Updates the cluster view from the VM list and the agents' reports. */
 export class ViewPollers {
   private readonly vmListPoller: Poller;
   private readonly reportPoller: Poller;
@@ -34,7 +34,7 @@
       random,
       intervalMs: settings.reportIntervalMs,
       maxBackoffMs: settings.reportIntervalMs,
-      // Not waited for: one agent that hangs must not hold up the others.
+      // Not awaited, so that an unresponsive agent doesn't delay the others.
       poll: async () => {
         void this.reports.pollAll();
         return true;
@@ -42,7 +42,7 @@
     });
   }
 
-  /** Resolves after the first VM list was read, or could not be. */
+  /** Resolves after the first attempt to read the VM list. */
   async start(): Promise<void> {
     await this.vmListPoller.start();
     void this.reportPoller.start();
@@ -53,7 +53,7 @@
     this.reportPoller.stop();
   }
 
-  /** While the list can't be read the last one stays good. */
+  /** If the list can't be read, the last one stays in use. */
   private async pollVmList(): Promise<boolean> {
     const {logger, view} = this.context;
     const list = await this.vmList.read();
