--- a/packages/banyanfold-entry/src/__tests__/agentState.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/agentState.test.ts
@@ -49,11 +49,11 @@
 }
 
 describe('AgentState', () => {
-  // An agent restarts while the log is out and serves under a provisional,
-  // negative incarnation. Taken for older than its predecessor's, its reports
-  // were dropped, and every request went to the predecessor's incarnation and
-  // was refused: its models were out of reach until the log was back.
-  it('takes the reports of a successor without a number yet', () => {
+  // An agent that restarts while the log is unavailable serves under a
+  // provisional, negative incarnation. If that counts as older than its
+  // predecessor's, its reports are dropped, and all requests are sent to the
+  // predecessor's incarnation and refused until the log is available again.
+  it('accepts reports of a restarted agent with a provisional incarnation', () => {
     const agent = new AgentState(VM);
     agent.applyReport(report(5, 'old@1', 7), 10);
     agent.applyReport(report(1, 'new@1', -42), 20);
@@ -67,9 +67,9 @@
     expect(agent.incarnation).toBe(9);
   });
 
-  // An agent gets its number from the log, and an answer brings word of it
-  // before the next poll does. Its copies are as they were.
-  it('keeps the copies of a process that gets its number', () => {
+  // An agent receives its incarnation from the log, and a response carries it
+  // to the entry before the next poll. The copies of the agent are unchanged.
+  it('keeps the copies of an agent that receives its incarnation', () => {
     const agent = new AgentState(VM);
     agent.applyReport(report(1, 'a@1', -42), 10);
     agent.applyDigest(digest(2, 0, 9), 20);
@@ -83,16 +83,16 @@
     expect(agent.runner.maxRunning).toBe(3);
   });
 
-  it('ignores a digest that an answer brought late', () => {
+  it('ignores a digest that arrives late', () => {
     const agent = new AgentState(VM);
     agent.applyDigest(digest(2, 9), 10);
     agent.applyDigest(digest(1, 0), 20);
     expect(agent.runner.queued).toBe(9);
   });
 
-  // At a busy agent a newer digest overtakes almost every report. Its copies
-  // are news all the same; without them the agent would get no work at all.
-  it('takes the copies of a report that a newer digest overtook', () => {
+  // Almost every report of a busy agent is overtaken by a newer digest. The
+  // entry must still apply its copies, or the agent would get no requests.
+  it('applies the copies of a report that a newer digest overtook', () => {
     const agent = new AgentState(VM);
     agent.applyDigest(digest(5, 9), 10);
     agent.applyReport(report(4, 'claims@1'), 20);
@@ -100,16 +100,16 @@
     expect(agent.runner.queued).toBe(9);
   });
 
-  it('ignores a report older than the one it has', () => {
+  it('ignores a report older than the stored one', () => {
     const agent = new AgentState(VM);
     agent.applyReport(report(4, 'claims@1'), 10);
     agent.applyReport(report(3, 'claims@0'), 20);
     expect([...agent.runner.artifacts]).toEqual(['claims@1']);
   });
 
-  // A new process came up beside the server. What the old one held isn't known
-  // to be there, and an attempt for the old one would be refused.
-  it('forgets the copies of an earlier incarnation', () => {
+  // After a restart of the agent, its earlier copies may be gone, and an
+  // attempt addressed to the earlier incarnation would be refused.
+  it('drops the copies of an earlier incarnation', () => {
     const agent = new AgentState(VM);
     agent.applyReport(report(40, 'claims@1'), 10);
     agent.applyDigest(digest(1, 0, 2), 20);
@@ -118,11 +118,11 @@
     expect(agent.incarnation).toBe(2);
   });
 
-  // The VM list lags behind the agent, or the agent behind the list.
+  // The VM list may lag behind the agent, or the agent behind the list.
   it.each([
     ['the list', true, false],
     ['the agent', false, true],
-  ])('is leaving as soon as %s says so', (_name, byList, byAgent) => {
+  ])('is leaving as soon as %s reports it', (_name, byList, byAgent) => {
     const agent = new AgentState(VM);
     agent.setVm({...VM, state: byList ? 'leaving' : 'live'});
     agent.applyDigest({...digest(1, 0), leaving: byAgent}, 10);
--- a/packages/banyanfold-entry/src/__tests__/demandMeter.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/demandMeter.test.ts
@@ -2,9 +2,9 @@
 import {DemandMeter} from '../plugins/demandMeter.js';
 
 describe('DemandMeter', () => {
-  // An entry that begins to plan sees counters that have risen for days. Taken
-  // as new they would look like a burst, and models would move for it.
-  it('takes no demand from what was counted before it looked', () => {
+  // An entry that starts to plan sees counters that have increased for days. If
+  // it counted them as new, they would look like a burst and cause moves.
+  it('measures no demand from the first snapshot of a source', () => {
     const meter = new DemandMeter(1_000);
     meter.endWindow(0);
     meter.recordMisses('entry-2', {'claims@1': 5_000});
@@ -13,7 +13,7 @@
     expect(meter.takeMisses().size).toBe(0);
   });
 
-  it('comes near a steady rate and forgets it again', () => {
+  it('converges to a steady rate and decays afterwards', () => {
     const meter = new DemandMeter(1_000);
     const rates: number[] = [];
     meter.endWindow(0);
@@ -43,9 +43,9 @@
     `);
   });
 
-  // An entry that doesn't plan takes no misses. Counted again in each window,
-  // one refusal would look like demand without end once it begins to plan.
-  it('counts a miss in one window, whether or not it is taken', () => {
+  // An entry that doesn't plan never reads its misses. If each window counted
+  // them again, one refusal would look like permanent demand.
+  it('counts a miss in one window, whether or not it is read', () => {
     const meter = new DemandMeter(1_000);
     meter.endWindow(0);
     meter.recordMisses('entry-1', {});
@@ -55,9 +55,9 @@
     expect(meter.takeMisses().get('claims@1')).toBe(8);
   });
 
-  // The planner hears of its peers' misses after it has closed a window, and
-  // decides before it closes the next.
-  it('keeps misses for the rate when they are taken before', () => {
+  // The planner fetches its peers' misses after the end of a window, and reads
+  // them for its decision before the end of the next one.
+  it('includes misses in the rate when they are read before', () => {
     const meter = new DemandMeter(1_000);
     meter.endWindow(0);
     meter.recordMisses('entry-2', {});
@@ -67,7 +67,7 @@
     expect(meter.demandPerSecond('claims@1')).toBe(4);
   });
 
-  it('counts on from nothing when the source has restarted', () => {
+  it('counts from zero after a restart of the source', () => {
     const meter = new DemandMeter(1_000);
     meter.recordMisses('entry-2', {'claims@1': 50});
     meter.recordMisses('entry-2', {'claims@1': 3});
--- a/packages/banyanfold-entry/src/__tests__/keys.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/keys.test.ts
@@ -47,7 +47,7 @@
   return post(ports[entry]!, LODGE, {headers, body});
 }
 
-const short = ({status, outcome, code, text}: HttpAnswer) =>
+const summarize = ({status, outcome, code, text}: HttpAnswer) =>
   status === 200 ? [status, text] : [status, outcome, code];
 
 describe('createEntry, requests that may not be repeated', () => {
@@ -61,29 +61,31 @@
     ['a key from the future', uuidV7({msecs: Date.now() + HOUR_MS})],
     ['a key past its horizon', uuidV7({msecs: Date.now() - HOUR_MS})],
   ])('runs nothing for %s', async (_name, key) => {
-    expect(short(await lodgeWith(key))).toMatchSnapshot();
+    expect(summarize(await lodgeWith(key))).toMatchSnapshot();
     expect(system.takeCounts().ran).toBe(0);
   });
 
   it('gives the recorded answer to a second caller at another entry', async () => {
     const key = uuidV7();
     const first = await lodgeWith(key);
-    expect(short(first)).toEqual([200, RECEIPT]);
-    // The record follows the answer; the second entry reads it from the log.
+    expect(summarize(first)).toEqual([200, RECEIPT]);
+    // The record is appended after the answer; the second entry reads it from
+    // the log.
     await eventually(async () =>
-      short(await lodgeWith(key, {entry: 1})),
+      summarize(await lodgeWith(key, {entry: 1})),
     ).toEqual([200, RECEIPT]);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  // The member's phone sends twice at once, and the balancer picks two
-  // entries. Both claim; the log's order decides; the loser must not dispatch.
-  it('runs one of many calls that come at once at two entries', async () => {
+  // A client sends concurrent duplicates, and the load balancer picks two
+  // entries. Both claim the key; the order in the log decides, and the loser
+  // must not dispatch.
+  it('runs one of many concurrent calls at two entries', async () => {
     const key = uuidV7();
     const calls = Array.from({length: 12}, (_, i) =>
       lodgeWith(key, {entry: i % 2}),
     );
-    const answers = (await Promise.all(calls)).map(short);
+    const answers = (await Promise.all(calls)).map(summarize);
     expect(answers).toContainEqual([200, RECEIPT]);
     const inProgress = [409, 'unknown', 'key_in_progress'];
     for (const answer of answers) {
@@ -92,27 +94,28 @@
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  it('keeps the answer from another request under the same key', async () => {
+  it('refuses a different request with the same key', async () => {
     const key = uuidV7();
     await lodgeWith(key);
     await eventually(async () =>
-      short(await lodgeWith(key, {body: '{"claim":2}'})),
+      summarize(await lodgeWith(key, {body: '{"claim":2}'})),
     ).toEqual([422, 'not-run', 'key_reused']);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  // The agent lodges the claim and its answer is lost. It keeps the answer,
-  // and the entry comes back for it instead of lodging again.
-  it('fetches the kept answer when the first one was lost', async () => {
+  // The agent runs the request and its response is lost. The agent stores the
+  // answer, and the entry must fetch it instead of running the request again.
+  it('fetches the stored answer when the first response was lost', async () => {
     system.next.push(runThenDropConnection);
-    expect(short(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
+    expect(summarize(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
     const {ran, calls, resumes} = system.takeCounts();
     expect([ran, calls, resumes]).toEqual([1, 1, 1]);
   });
 
-  // As before, but the agent is gone for good. The claim may be lodged, so the
-  // caller hears "unknown", nothing runs again, and a later call is told so.
-  it('says unknown and never runs again when the answer is gone', async () => {
+  // The response is lost and the agent doesn't return. The request may have
+  // run, so the caller and later calls must get "unknown", and nothing may run
+  // again.
+  it('reports unknown and never runs again when the answer is lost', async () => {
     const key = uuidV7();
     for (const agent of system.agents) {
       agent.fallback = call =>
@@ -121,86 +124,89 @@
           : dropConnection(call);
     }
     const first = await lodgeWith(key);
-    expect(short(first)).toEqual([502, 'unknown', 'outcome_unknown']);
+    expect(summarize(first)).toEqual([502, 'unknown', 'outcome_unknown']);
     for (const agent of system.agents) agent.fallback = lodge;
     await eventually(async () =>
-      short(await lodgeWith(key, {entry: 1})),
+      summarize(await lodgeWith(key, {entry: 1})),
     ).toEqual([409, 'unknown', 'key_outcome_unknown']);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  it('tries another agent when the first is proved not to have run', async () => {
+  it('tries another agent when the first one did not run it', async () => {
     system.next.push(refuse('busy', 429));
-    expect(short(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
+    expect(summarize(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
     expect(system.takeCounts().calls).toBe(2);
   });
 
-  // The agent dies before the call reached it, and its successor's seal proves
-  // that. Stopping there would refuse a claim that another agent can lodge.
+  // The agent crashes before the call reaches it, and its successor's seal
+  // proves that. The entry must retry, since another agent can run the request.
   it('tries another agent when the seal proves that nothing ran', async () => {
     for (const agent of system.agents) agent.sealState = 'never-started';
     system.next.push(dropConnection);
     system.nextResumes.push(refuse('unknown-attempt', 404, 'unknown'));
-    expect(short(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
+    expect(summarize(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
     const {ran, calls} = system.takeCounts();
     expect([ran, calls]).toEqual([1, 2]);
   });
 
-  // The log goes out while the claim is being lodged, so its outcome can't be
-  // recorded yet. The entry that ran it knows it all the same.
-  it('answers a second caller by its own run while the log is out', async () => {
+  // The log becomes unavailable during the request, so its outcome can't be
+  // recorded yet. The entry that ran it must still answer from its own state.
+  it('answers a second call from its own run while the log is down', async () => {
     const key = uuidV7();
     system.next.push(call => {
       system.setLogOutage('refuse');
       lodge(call);
     });
-    expect(short(await lodgeWith(key))).toEqual([200, RECEIPT]);
-    expect(short(await lodgeWith(key))).toEqual([200, RECEIPT]);
-    // After some tries the client of the log gives up; the entry must not, or
-    // all others would call the outcome unknown for ever.
-    const gaveUp = /event=claim-note-failed kind=finished .*attempt=5/;
-    await eventually(() => gaveUp.test(system.logLines.join('\n'))).toBe(true);
+    expect(summarize(await lodgeWith(key))).toEqual([200, RECEIPT]);
+    expect(summarize(await lodgeWith(key))).toEqual([200, RECEIPT]);
+    // The log client stops after some retries. The entry must go on, or the
+    // outcome would stay unknown at all other entries.
+    const retriesExhausted =
+      /event=claim-note-failed kind=finished .*attempt=5/;
+    await eventually(() =>
+      retriesExhausted.test(system.logLines.join('\n')),
+    ).toBe(true);
     system.setLogOutage('none');
     await eventually(async () =>
-      short(await lodgeWith(key, {entry: 1})),
+      summarize(await lodgeWith(key, {entry: 1})),
     ).toEqual([200, RECEIPT]);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  // Nothing was dispatched, so the key is given back: a caller who comes again
-  // with it, as it was told to, must not find it taken for ever.
-  it('gives back the key of a request that never ran', async () => {
+  // If nothing ran, the key must be released, so that the caller can retry with
+  // the same key.
+  it('releases the key of a request that never ran', async () => {
     const key = uuidV7();
     for (const agent of system.agents) agent.fallback = refuse('busy', 429);
-    const refused = short(await lodgeWith(key));
+    const refused = summarize(await lodgeWith(key));
     expect(refused).toEqual([503, 'not-run', 'agent_refused']);
     for (const agent of system.agents) agent.fallback = lodge;
     await eventually(async () =>
-      short(await lodgeWith(key, {entry: 1})),
+      summarize(await lodgeWith(key, {entry: 1})),
     ).toEqual([200, RECEIPT]);
     expect(system.takeCounts().ran).toBe(1);
   });
 
   it.each(['refuse', 'cut'] as const)(
-    'refuses at once while the log is out (%s)',
+    'refuses immediately while the log is down (%s)',
     async outage => {
       system.setLogOutage(outage);
       const answer = await lodgeWith(uuidV7());
-      expect(short(answer)).toEqual([503, 'unknown', 'log_unavailable']);
+      expect(summarize(answer)).toEqual([503, 'unknown', 'log_unavailable']);
       expect(Number(answer.retryAfter)).toBeGreaterThan(0);
       expect(system.takeCounts().ran).toBe(0);
     },
   );
 
-  it('claims although the answer of the append was lost', async () => {
+  it('claims the key although the response to the append was lost', async () => {
     system.log.state.faults.set({loseNextAppendAnswers: 1});
-    expect(short(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
+    expect(summarize(await lodgeWith(uuidV7()))).toEqual([200, RECEIPT]);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  // The caller hangs up while its claim is being lodged, and comes again. The
-  // first call must go on to its end, or nobody would ever know its outcome.
-  it('runs to its end when the caller goes away', async () => {
+  // The caller disconnects during the request and retries. The first call must
+  // run to completion, or its outcome would never be known.
+  it('completes the run when the caller disconnects', async () => {
     const key = uuidV7();
     const abort = new AbortController();
     let call: AttemptCall | undefined;
@@ -219,46 +225,47 @@
       signal: abort.signal,
     });
     await expect(gone).rejects.toThrow();
-    await eventually(async () => short(await lodgeWith(key))).toEqual([
+    await eventually(async () => summarize(await lodgeWith(key))).toEqual([
       409,
       'unknown',
       'key_in_progress',
     ]);
     lodge(call!);
     await eventually(async () =>
-      short(await lodgeWith(key, {entry: 1})),
+      summarize(await lodgeWith(key, {entry: 1})),
     ).toEqual([200, RECEIPT]);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  it('still serves requests that may be repeated while the log is out', async () => {
+  it('still serves repeatable requests while the log is down', async () => {
     system.setLogOutage('refuse');
     for (const agent of system.agents) agent.fallback = answerWhole;
     const answer = await post(ports[0]!, '/v1/chat/completions');
     expect(answer.status).toBe(200);
   });
 
-  // One entry is cut off from the log. The claim is lodged through another one,
-  // and its answer is lost; the caller comes again, to the entry that is cut
-  // off. "Not run" would make the desk tell the member that nothing was lodged.
-  it('never says not-run of a key that ran through another entry', async () => {
+  // One entry is disconnected from the log. The request runs through another
+  // entry, its response is lost, and the caller retries at the disconnected
+  // one. With "not-run" the caller would wrongly conclude that nothing was
+  // done.
+  it('never reports not-run for a key that ran at another entry', async () => {
     const log = system.disconnectableLog();
     ports = [...ports.slice(0, 2), await system.startReadyEntry({}, log)];
     const key = uuidV7();
     log.isDisconnected = true;
-    expect(short(await lodgeWith(key))).toEqual([200, RECEIPT]);
+    expect(summarize(await lodgeWith(key))).toEqual([200, RECEIPT]);
     const answer = await lodgeWith(key, {entry: 2});
-    expect(short(answer)).toEqual([503, 'unknown', 'log_unavailable']);
+    expect(summarize(answer)).toEqual([503, 'unknown', 'log_unavailable']);
     expect(system.takeCounts().ran).toBe(1);
   });
 
-  // An entry starts in the outage and has never read the claims. An earlier
-  // run of the key can't be ruled out there, so "not run" could be untrue.
-  it('says unknown where the claims were never read', async () => {
+  // An entry that starts during a log outage has never read the claims. It
+  // can't rule out an earlier run of the key, so "not-run" could be wrong.
+  it('reports unknown where the claims were never read', async () => {
     system.setLogOutage('refuse');
-    const late = await system.startReadyEntry();
-    ports = [...ports.slice(0, 2), late];
+    const lateEntryPort = await system.startReadyEntry();
+    ports = [...ports.slice(0, 2), lateEntryPort];
     const answer = await lodgeWith(uuidV7(), {entry: 2});
-    expect(short(answer)).toEqual([503, 'unknown', 'log_unavailable']);
+    expect(summarize(answer)).toEqual([503, 'unknown', 'log_unavailable']);
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/kit/behaviours.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/behaviours.ts
@@ -1,17 +1,17 @@
 import {HEADERS, type Outcome} from '@banyanfold/protocol';
 import type {AttemptCall, Behaviour} from './fakeAgent.js';
 
-/** What every whole answer says, in three events when it is streamed. */
+/** The text of a complete answer, by events of its stream. */
 export const ANSWER_CHUNKS = ['You ', 'are ', 'eligible.'];
 export const ANSWER_TEXT = ANSWER_CHUNKS.join('');
 
-/** Events of one attempt with ids, the end marker among them. */
+/** Events of one attempt with their ids, including the end marker. */
 export function framesOf(
   call: Pick<AttemptCall, 'attemptId' | 'requestId'>,
-  words: readonly string[] = ANSWER_CHUNKS,
+  chunks: readonly string[] = ANSWER_CHUNKS,
 ): string[] {
   const data = [
-    ...words.map(word => completionChunk(call.requestId, word)),
+    ...chunks.map(chunk => completionChunk(call.requestId, chunk)),
     '[DONE]',
   ];
   return data.map((text, i) => frame(call.attemptId, i + 1, text));
@@ -54,7 +54,7 @@
   });
 }
 
-/** Does the work and answers it, streamed if it was asked to be. */
+/** Runs the request and answers completely, as a stream if requested. */
 export const answerWhole: Behaviour = call => {
   if (call.afterSeq === undefined) call.agent.ran++;
   if (call.isStream) {
@@ -84,7 +84,7 @@
   call.res.end(body);
 }
 
-/** Sends these events after the head and goes on with `then`. */
+/** Sends the headers and these events, then calls `then`. */
 export function sendFrames(
   frames: (call: AttemptCall) => string[],
   then: (call: AttemptCall) => void = call => call.res.end(),
@@ -96,12 +96,12 @@
   };
 }
 
-/** The connection breaks, as it does when the agent's process is killed. */
+/** Breaks the connection, as when the agent's process is killed. */
 export const dropConnection = (call: AttemptCall): void => {
   call.socket.destroy();
 };
 
-/** Dies with the request taken in and nothing answered. */
+/** Runs the request and breaks the connection without a response. */
 export const runThenDropConnection: Behaviour = call => {
   call.agent.ran++;
   dropConnection(call);
--- a/packages/banyanfold-entry/src/__tests__/kit/eventually.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/eventually.ts
@@ -3,6 +3,6 @@
 const TIMEOUT_MS = 30_000;
 const INTERVAL_MS = 10;
 
-/** Waits for something without a word on how long it takes. */
+/** Polls `read` until the expectation holds, for up to 30 s. */
 export const eventually = <T>(read: () => T) =>
   expect.poll(read, {timeout: TIMEOUT_MS, interval: INTERVAL_MS});
--- a/packages/banyanfold-entry/src/__tests__/kit/fakeAgent.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/fakeAgent.ts
@@ -14,14 +14,14 @@
 import {answerWhole} from './behaviours.js';
 
 export const INTERNAL_KEY = 'internal';
-const PLANNED_BYTES = 1_000_000;
+const COPY_BYTES = 1_000_000;
 
-/** One call of an entry, as the fake agent sees it. */
+/** One call of an entry, as received by the fake agent. */
 export interface AttemptCall {
   agent: FakeAgent;
   attemptId: string;
   requestId: string;
-  /** For a call that comes back: the last event it has. */
+  /** For a resumed stream: the number of the last received event. */
   afterSeq: number | undefined;
   isStream: boolean;
   path: string;
@@ -30,31 +30,31 @@
   socket: Socket;
 }
 
-/** What the fake agent does with a call. */
+/** How the fake agent handles a call. */
 export type Behaviour = (call: AttemptCall) => void;
 
-/** A small agent without an engine that does as the test says. */
+/** An agent without an engine whose behaviour the test controls. */
 export class FakeAgent {
-  /** For the next calls, in order; after them each is answered whole. */
+  /** Behaviours of the next calls, in order; then `fallback` applies. */
   next: Behaviour[] = [];
-  /** For the next calls that come back. */
+  /** Behaviours of the next calls that resume a stream. */
   nextResumes: Behaviour[] = [];
   fallback: Behaviour = answerWhole;
   sealState: SealResult['state'] = 'started';
   incarnation = 7;
   leaving = false;
   artifacts = ['claims@1'];
-  /** Agents of earlier releases don't tell it. */
+  /** Agents of earlier releases don't report it. */
   maxRunning: number | undefined;
   readonly calls: AttemptCall[] = [];
   readonly resumes: AttemptCall[] = [];
   readonly sealed: string[] = [];
   readonly proposals: Proposal[] = [];
-  /** The reports that entries said to hold, one for each question. */
+  /** The cursors that entries sent, one for each report request. */
   readonly cursors: Array<ReportCursor | undefined> = [];
-  /** How often work was really done. */
+  /** The number of requests that were run, without resumed calls. */
   ran = 0;
-  /** Reports wait for it. */
+  /** Reports are delayed until it resolves. */
   reportGate: Promise<void> = Promise.resolve();
   port = 0;
   private sequence = 0;
@@ -85,7 +85,7 @@
     const control = createControlHandler({router, keys: [INTERNAL_KEY]});
     this.server = http.createServer((req, res) => {
       if (req.url?.startsWith('/trpc')) control(req, res);
-      else this.takeCall(req, res);
+      else this.handleCall(req, res);
     });
   }
 
@@ -130,12 +130,12 @@
       region: 'r',
       runnerRole: '',
       configVersion: 1,
-      memoryCapacityBytes: 10 * PLANNED_BYTES,
-      memoryFreeBytes: (10 - this.artifacts.length) * PLANNED_BYTES,
+      memoryCapacityBytes: 10 * COPY_BYTES,
+      memoryFreeBytes: (10 - this.artifacts.length) * COPY_BYTES,
       checksFencing: true,
       copies: this.artifacts.map(artifact => ({
         artifact,
-        bytes: PLANNED_BYTES,
+        bytes: COPY_BYTES,
         state: 'held' as const,
         copyId: `${this.vmId}/${artifact}`,
         idleMs: 0,
@@ -153,11 +153,11 @@
     return {accepted: true, reason: 'reserved'};
   }
 
-  private takeCall(req: IncomingMessage, res: ServerResponse): void {
+  private handleCall(req: IncomingMessage, res: ServerResponse): void {
     const chunks: Buffer[] = [];
     req.on('data', (chunk: Buffer) => chunks.push(chunk));
     req.on('end', () => {
-      const call = this.toCall(req, res, Buffer.concat(chunks).toString());
+      const call = this.parseCall(req, res, Buffer.concat(chunks).toString());
       const isResume = req.method === 'GET';
       (isResume ? this.resumes : this.calls).push(call);
       const queue = isResume ? this.nextResumes : this.next;
@@ -165,7 +165,7 @@
     });
   }
 
-  private toCall(
+  private parseCall(
     req: IncomingMessage,
     res: ServerResponse,
     body: string,
--- a/packages/banyanfold-entry/src/__tests__/kit/testSystem.ts
+++ b/packages/banyanfold-entry/src/__tests__/kit/testSystem.ts
@@ -50,7 +50,7 @@
   ],
 });
 
-/** The platform and the agents that a test's entries see. */
+/** The platform, agents and entries of a test. */
 export class TestSystem {
   readonly log = new LogStandin();
   readonly agents: FakeAgent[] = [];
@@ -61,7 +61,7 @@
     logger: MemoryLogger;
     metrics: Metrics;
   }> = [];
-  /** What is done with the next calls, whichever agent they reach. */
+  /** Behaviours of the next calls, shared by all agents. */
   readonly next: Behaviour[] = [];
   readonly nextResumes: Behaviour[] = [];
   leaving = new Set<string>();
@@ -88,16 +88,16 @@
     (await this.logService.append('config', [value]))._unsafeUnwrap();
   }
 
-  /** Starts an entry; it is listed from then on. */
+  /** Starts an entry and adds it to the VM list. Returns its port. */
   async startEntry(
-    change: Partial<EntrySettingsInput> = {},
+    overrides: Partial<EntrySettingsInput> = {},
     log: LogService = this.logService,
   ): Promise<number> {
-    const vmId = change.vmId ?? `entry-${this.entries.length + 1}`;
+    const vmId = overrides.vmId ?? `entry-${this.entries.length + 1}`;
     const logger = new MemoryLogger();
     const metrics = new Metrics();
     const entry = createEntry(
-      {...testSettings(vmId), ...change},
+      {...testSettings(vmId), ...overrides},
       {logger, metrics, log, vmList: this.vmList()},
     );
     const {port} = await entry.start();
@@ -114,36 +114,37 @@
     return port;
   }
 
-  /** Starts an entry and waits for it to say that it is ready. */
+  /** Starts an entry and waits until it is ready. Returns its port. */
   async startReadyEntry(
-    change: Partial<EntrySettingsInput> = {},
+    overrides: Partial<EntrySettingsInput> = {},
     log: LogService = this.logService,
   ): Promise<number> {
-    const port = await this.startEntry(change, log);
+    const port = await this.startEntry(overrides, log);
     await vi.waitUntil(() => isReady(port), {timeout: 20_000, interval: 10});
     return port;
   }
 
   /**
-   * The log as one process sees it, which can be cut off alone. A poll that is
-   * open when it is cut off brings nothing any more.
+   * A view of the log that can be disconnected independently. A read in flight
+   * at that time fails.
    */
   disconnectableLog(): LogService & {isDisconnected: boolean} {
     const {logService} = this;
-    const place = {step: 'reach-log', peer: 'log'};
-    const cut = () => new BanyanfoldError('log-unavailable', 'cut', place);
+    const errorContext = {step: 'reach-log', peer: 'log'};
+    const logError = () =>
+      new BanyanfoldError('log-unavailable', 'cut', errorContext);
     return {
       isDisconnected: false,
       append(...args) {
         return this.isDisconnected
-          ? errAsync(cut())
+          ? errAsync(logError())
           : logService.append(...args);
       },
       read(...args) {
-        if (this.isDisconnected) return errAsync(cut());
+        if (this.isDisconnected) return errAsync(logError());
         const page = logService.read(...args);
         return page.andThen(value =>
-          this.isDisconnected ? err(cut()) : ok(value),
+          this.isDisconnected ? err(logError()) : ok(value),
         );
       },
     };
@@ -153,7 +154,7 @@
     this.log.state.faults.set({outage});
   }
 
-  /** Calls and resumes at all agents since the last time. */
+  /** Returns and resets the counts of calls, resumes and runs at all agents. */
   takeCounts(): {calls: number; resumes: number; ran: number} {
     const counts = {calls: 0, resumes: 0, ran: 0};
     for (const agent of this.agents) {
@@ -179,9 +180,9 @@
     return {
       read: () => {
         if (this.vmListIsDown) {
-          const place = {step: 'read-vm-list', peer: 'vm-list'};
+          const errorContext = {step: 'read-vm-list', peer: 'vm-list'};
           return errAsync(
-            new BanyanfoldError('vm-list-unavailable', 'down', place),
+            new BanyanfoldError('vm-list-unavailable', 'down', errorContext),
           );
         }
         const agents = this.agents.map(agent =>
@@ -222,7 +223,7 @@
   return response.ok;
 }
 
-/** The client that callers use, without its own retries. */
+/** An OpenAI client without its own retries. */
 export function openaiClient(port: number, apiKey = CALLER_KEY): OpenAI {
   const baseURL = `http://127.0.0.1:${port}/v1`;
   return new OpenAI({baseURL, apiKey, maxRetries: 0});
@@ -241,7 +242,7 @@
   code: string | undefined;
 }
 
-/** A call without any client's conveniences. */
+/** Sends a plain HTTP request, without an API client. */
 export async function post(
   port: number,
   path: string,
--- a/packages/banyanfold-entry/src/__tests__/leaving.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/leaving.test.ts
@@ -17,17 +17,20 @@
 afterEach(() => system.stop());
 
 describe('createEntry, VMs that leave', () => {
-  // The VM list lags, and an agent may know first, or the other way round.
-  // New work for a leaving server would be cut off with it.
+  // The VM list may lag behind the agent's report or the other way round. New
+  // requests to a leaving server would be cut off when it stops.
   it.each([
-    ['the VM list says so', (vmId: string) => system.leaving.add(vmId)],
     [
-      'its own report says so',
+      'the VM list marks it leaving',
+      (vmId: string) => system.leaving.add(vmId),
+    ],
+    [
+      'its own report says it leaves',
       (vmId: string) => {
         system.agents.find(agent => agent.vmId === vmId)!.leaving = true;
       },
     ],
-  ])('sends no new work to an agent when %s', async (_name, leave) => {
+  ])('sends no new requests to an agent when %s', async (_name, leave) => {
     const port = await system.startReadyEntry();
     leave('agent-1');
     const [agent1, agent2] = system.agents;
@@ -49,9 +52,9 @@
     expect((await post(port, CHAT_PATH)).status).toBe(200);
   });
 
-  // An operator drains the entry while a long answer streams. Readiness fails,
-  // new connections are refused, and the stream still runs to its end marker.
-  it('finishes an open stream before it ends', async () => {
+  // An operator drains the entry during a long stream. Readiness fails and new
+  // connections are refused, but the stream must run to its end marker.
+  it('finishes an open stream before the drain ends', async () => {
     const port = await system.startReadyEntry();
     const {entry} = system.entries[0]!;
     let call: AttemptCall | undefined;
@@ -66,7 +69,7 @@
       body: JSON.stringify({...CHAT, stream: true}),
     });
     const drained = entry.drain();
-    await eventually(() => post(port, CHAT_PATH).catch(refused)).toBe(
+    await eventually(() => post(port, CHAT_PATH).catch(toRefused)).toBe(
       'refused',
     );
     call!.res.end(framesOf(call!).slice(1).join(''));
@@ -75,11 +78,11 @@
     expect(system.logLines.at(-1)).toContain('drain-finished');
   });
 
-  it('says in the log what the bound of a drain cuts off', async () => {
+  it('logs the requests that a drain cuts off at its deadline', async () => {
     await system.startReadyEntry({drainBoundMs: 30});
     const {entry, port} = system.entries[0]!;
     system.next.push(() => {});
-    const cutOff = post(port, CHAT_PATH).catch(refused);
+    const cutOff = post(port, CHAT_PATH).catch(toRefused);
     await eventually(() => system.takeCounts().calls).toBe(1);
     await entry.drain();
     expect(system.logLines.join('\n')).toContain(
@@ -89,7 +92,7 @@
     await cutOff;
   });
 
-  it('is not ready and closes kept connections while it leaves', async () => {
+  it('is not ready and closes idle connections while leaving', async () => {
     const port = await system.startReadyEntry({drainNoticeMs: 60_000});
     const client = createEntryClient({
       host: '127.0.0.1',
@@ -113,7 +116,7 @@
 });
 
 describe('createEntry, readiness', () => {
-  it('is not ready without a configuration, and says so to callers', async () => {
+  it('is not ready without a configuration, and refuses requests', async () => {
     system.setLogOutage('refuse');
     const port = await system.startEntry();
     expect(await isReady(port)).toBe(false);
@@ -125,9 +128,9 @@
     ]);
   });
 
-  // A VM is replaced while the log is down. Its peers have the configuration
-  // in force; it must take it from them and serve.
-  it('takes the configuration from a peer while the log is out', async () => {
+  // A VM is replaced while the log is down. It must fetch the active
+  // configuration from its peers and serve.
+  it('fetches the configuration from a peer while the log is down', async () => {
     await system.startReadyEntry();
     system.setLogOutage('cut');
     const port = await system.startReadyEntry();
@@ -139,7 +142,7 @@
     expect(second!.configVersion).toBe(first!.configVersion);
   });
 
-  it('lets nobody without a key into the control interface', async () => {
+  it('rejects control calls without the internal key', async () => {
     const port = await system.startReadyEntry();
     const client = createEntryClient({
       host: '127.0.0.1',
@@ -150,7 +153,7 @@
   });
 });
 
-const refused = () => 'refused' as const;
+const toRefused = () => 'refused' as const;
 
 async function explainCandidates(_port: number) {
   const {entry} = system.entries[0]!;
--- a/packages/banyanfold-entry/src/__tests__/placementView.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/placementView.test.ts
@@ -40,7 +40,7 @@
 }
 
 describe('placementView', () => {
-  it('tells how long answers of an artifact take, once one was', async () => {
+  it('includes the service time of an artifact after its first answer', async () => {
     const port = await system.startReadyEntry(PLANNING);
     await eventually(() => views.length).toBeGreaterThan(0);
     expect(serviceTimeMs('claims@1')).toBeUndefined();
@@ -49,10 +49,10 @@
     expect(serviceTimeMs('hidden@1')).toBeUndefined();
   });
 
-  // Two runners with the same load, one with few slots and one of an earlier
-  // release, which doesn't say. Taken for alike, the small one would seem to
-  // have room, and get copies it can't serve.
-  it('tells how many requests a runner runs at once', async () => {
+  // Two runners have the same load; one has few slots, the other is of an
+  // earlier release and doesn't report them. Treated alike, the small one would
+  // seem to have capacity and get copies that it can't serve.
+  it('includes how many requests a runner runs concurrently', async () => {
     system.agents[0]!.maxRunning = 3;
     await system.startReadyEntry(PLANNING);
     await eventually(() => views.length).toBeGreaterThan(0);
@@ -65,9 +65,9 @@
     ]);
   });
 
-  // Both runners fail. How long a failure took says nothing of an answer;
-  // taken for one, demand would look small and no copy would be made.
-  it('learns nothing from a request that failed', async () => {
+  // Failures are faster than answers. Counted as service times, they would make
+  // demand look small, and no copy would be loaded.
+  it('records no service time for a failed request', async () => {
     for (const agent of system.agents) agent.fallback = runThenDropConnection;
     const port = await system.startReadyEntry(PLANNING);
     expect((await post(port, CHAT_PATH)).status).not.toBe(200);
@@ -78,10 +78,10 @@
 });
 
 describe('the planner plug-in', () => {
-  // Callers reach another entry than the one that plans, and ask for what no
-  // runner holds. The planner must hear of them; but the whole status, with a
-  // line for each runner, is too much to ask of each entry each second.
-  it('hears of misses at its peers, and asks for nothing else', async () => {
+  // Requests for an artifact without a copy arrive at an entry that isn't the
+  // planner. The planner must fetch these misses, but not the full status with
+  // a row per runner, which is too large to fetch from each entry every second.
+  it('fetches the misses of its peers, and nothing else', async () => {
     for (const agent of system.agents) agent.artifacts = [];
     const [first, second] = rendezvousOrder('planner', ['entry-1', 'entry-2']);
     const peerPort = await system.startReadyEntry({vmId: second!});
@@ -95,10 +95,10 @@
     expect(status).not.toHaveBeenCalled();
   });
 
-  // A caller is refused at an entry that stands by, and the planner hears of it.
-  // When the planner goes and the other takes over, perhaps hours later, nobody
-  // waits any more; the refusal must not send that model before the others.
-  it('forgets old misses before it takes over', async () => {
+  // A request is refused at a standby entry, and the planner fetches that miss.
+  // When the standby takes over, perhaps hours later, no caller waits any more;
+  // the old miss must not give that model priority over others.
+  it('discards old misses before it takes over', async () => {
     for (const agent of system.agents) agent.artifacts = [];
     const [first, second] = rendezvousOrder('planner', ['entry-1', 'entry-2']);
     await system.startReadyEntry({...PLANNING, vmId: first!});
@@ -117,7 +117,7 @@
 });
 
 describe('ServiceTimes', () => {
-  it('starts at the first answer and smooths the next', () => {
+  it('starts with the first sample and smooths later ones', () => {
     const times = new ServiceTimes();
     times.record('claims@1', 1_000);
     times.record('claims@1', 2_000);
--- a/packages/banyanfold-entry/src/__tests__/planner.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/planner.test.ts
@@ -26,7 +26,7 @@
 }
 
 describe('the planner plug-in', () => {
-  it('loads labelled models, and says why in a line for each move', async () => {
+  it('loads labelled models, and logs the reason for each move', async () => {
     const port = await system.startReadyEntry(PLANNING);
     await eventually(
       async () => (await post(port, '/v1/chat/completions')).status,
@@ -41,9 +41,9 @@
     }
   });
 
-  // The first entry plans alone. The second is the one that the hash names once
-  // both are listed, so the first must hand over, or both would go on loading.
-  it('hands over to the entry that the VM list names', async () => {
+  // The first entry plans alone. Once both are listed, rendezvous hashing
+  // selects the second; the first must hand over, or both would go on loading.
+  it('hands over to the entry selected from the VM list', async () => {
     const ids = ['entry-1', 'entry-2', 'entry-3'];
     const [second, first] = rendezvousOrder('planner', ids);
     await system.startReadyEntry({...PLANNING, vmId: first!});
@@ -56,9 +56,10 @@
     );
   });
 
-  // The log goes out after the planner has its epoch. An agent's copy is lost;
-  // the model must come back although nothing can be agreed anew.
-  it('goes on with its epoch while the log is out', async () => {
+  // The log becomes unavailable after the planner has claimed its epoch, and an
+  // agent loses its copy. The planner must load the model again although it
+  // can't claim a new epoch.
+  it('keeps planning with its epoch while the log is down', async () => {
     await system.startReadyEntry(PLANNING);
     await eventually(() => proposals().length).toBeGreaterThanOrEqual(2);
     system.setLogOutage('refuse');
@@ -69,8 +70,8 @@
     expect(new Set(all).size).toBe(1);
   });
 
-  // Without an epoch no agent would take its word, and two planners that race
-  // would both load.
+  // Agents refuse the older of two racing planners by its epoch. Without one,
+  // both would load.
   it('proposes nothing without an epoch', async () => {
     await system.startReadyEntry();
     system.setLogOutage('refuse');
@@ -79,14 +80,14 @@
     await eventually(() => system.logLines.join('\n')).toContain(
       'planner-claim-failed',
     );
-    const begun = rounds(1);
-    await eventually(() => rounds(1)).toBeGreaterThan(begun + 5);
+    const initialRounds = rounds(1);
+    await eventually(() => rounds(1)).toBeGreaterThan(initialRounds + 5);
     expect((await entry.handlers.status()).plannerEpoch).toBe(0);
     expect(proposals()).toEqual([]);
   });
 
-  // Reports come late, and the planner has gone round several times by then. A
-  // load that was accepted must not be proposed again in between.
+  // Several planner rounds pass before the next report. An accepted load must
+  // not be proposed again in between.
   it('proposes a load once although the reports lag', async () => {
     const port = await system.startEntry({
       planner: {...PLANNING.planner, intervalMs: 1, loadsPerSecond: 1_000},
@@ -102,31 +103,31 @@
     expect(artifacts.toSorted()).toEqual(['claims@1', 'hidden@1']);
   });
 
-  // One agent answers late. What it holds isn't missing, and loading it
-  // elsewhere would be moves for nothing.
-  it('waits until every live agent was heard', async () => {
+  // One agent reports late. Its copies must not count as missing, or they would
+  // be loaded elsewhere without need.
+  it('waits until every live agent has reported', async () => {
     const [agent1, agent2] = system.agents;
-    let open = () => {};
+    let releaseReports = () => {};
     agent2!.reportGate = new Promise(resolve => {
-      open = resolve;
+      releaseReports = resolve;
     });
     agent2!.artifacts = ['claims@1', 'hidden@1'];
     await system.startReadyEntry({...PLANNING, reportTimeoutMs: 30_000});
     await eventually(() => rounds()).toBeGreaterThan(5);
-    open();
-    await eventually(() => agentsHeard()).toBe(2);
-    const heardAt = rounds();
-    await eventually(() => rounds()).toBeGreaterThan(heardAt + 5);
+    releaseReports();
+    await eventually(() => countReachableAgents()).toBe(2);
+    const roundsBefore = rounds();
+    await eventually(() => rounds()).toBeGreaterThan(roundsBefore + 5);
     expect(agent1!.proposals).toEqual([]);
   });
 });
 
-/** How often the planner has gone round. */
+/** The number of rounds that the planner of an entry has run. */
 function rounds(entry = 0): number {
   return system.entries[entry]!.metrics.counterValue('planner_rounds_total');
 }
 
-async function agentsHeard(): Promise<number> {
+async function countReachableAgents(): Promise<number> {
   const {agents} = await system.entries[0]!.entry.handlers.status();
   return agents.filter(({reachable}) => reachable).length;
 }
--- a/packages/banyanfold-entry/src/__tests__/reportChanges.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/reportChanges.test.ts
@@ -9,7 +9,7 @@
 
 type Answer = AgentReport | ReportChanges;
 
-/** An agent whose state the test changes; a restart empties its lists. */
+/** A simulated agent; a restart clears its lists and counters. */
 class ReportingAgent {
   incarnation = 1;
   sequence = 0;
@@ -27,7 +27,7 @@
     this.history = new ReportHistory();
   }
 
-  truth(): AgentReport {
+  currentReport(): AgentReport {
     return {
       incarnation: this.incarnation,
       sequence: ++this.sequence,
@@ -58,12 +58,12 @@
     };
   }
 
-  answerTo(entry: AgentState): Answer {
-    return this.history.answer(this.truth(), entry.reportCursor());
+  answerFor(entry: AgentState): Answer {
+    return this.history.answer(this.currentReport(), entry.reportCursor());
   }
 }
 
-function newEntry(): AgentState {
+function createAgentState(): AgentState {
   return new AgentState({
     vmId: 'agent-1',
     role: 'agent',
@@ -81,7 +81,7 @@
     : [item, ...list];
 }
 
-function expectTruth(entry: AgentState, agent: ReportingAgent): void {
+function expectUpToDate(entry: AgentState, agent: ReportingAgent): void {
   expect([...entry.runner.artifacts].sort()).toEqual(
     [...agent.copies, 'lodging'].sort(),
   );
@@ -100,7 +100,7 @@
   fc.record({kind: fc.constant('restart' as const)}),
   fc.record({kind: fc.constant('digest' as const), entry: fc.nat(1)}),
   fc.record({kind: fc.constant('ask' as const), entry: fc.nat(1)}),
-  // Any answer so far arrives, at any time, any number of times, at any entry.
+  // Delivers any earlier answer to any entry: late, repeated or out of order.
   fc.record({
     kind: fc.constant('arrive' as const),
     nth: fc.nat(40),
@@ -109,14 +109,14 @@
 );
 
 describe('ReportHistory and AgentState', () => {
-  // Two entries poll one agent. Answers are lost, come twice, late, in another
-  // order and at the wrong entry, and the agent is restarted in between. A copy
-  // believed held that is gone would cost refused attempts for as long as
-  // nothing else changes there.
-  it('ends with the truth at each entry after one answer in quiet', () => {
+  // Two entries poll one agent. Answers are lost, duplicated, delayed,
+  // reordered and delivered to the wrong entry, and the agent restarts in
+  // between. If an entry kept a copy that is gone, attempts would be refused
+  // until the copies of the agent change again.
+  it('converges to the current report after one undisturbed answer', () => {
     const property = fc.property(fc.array(step, {maxLength: 60}), steps => {
       const agent = new ReportingAgent();
-      const entries = [newEntry(), newEntry()];
+      const entries = [createAgentState(), createAgentState()];
       const answers: Answer[] = [];
       for (const each of steps) {
         if (each.kind === 'copy') {
@@ -128,32 +128,32 @@
         } else if (each.kind === 'restart') {
           agent.restart();
         } else if (each.kind === 'digest') {
-          entries[each.entry]!.applyDigest(agent.truth(), 0);
+          entries[each.entry]!.applyDigest(agent.currentReport(), 0);
         } else if (each.kind === 'ask') {
-          answers.push(agent.answerTo(entries[each.entry]!));
+          answers.push(agent.answerFor(entries[each.entry]!));
         } else {
           const late = answers[each.nth % Math.max(1, answers.length)];
           if (late) entries[each.entry]!.applyReport(late, 0);
         }
       }
       for (const entry of entries) {
-        entry.applyReport(agent.answerTo(entry), 0);
-        expectTruth(entry, agent);
+        entry.applyReport(agent.answerFor(entry), 0);
+        expectUpToDate(entry, agent);
       }
     });
     fc.assert(property, {numRuns: 2_000});
   });
 
-  it('leaves the lists out when nothing changed, and ages the copies', () => {
+  it('omits unchanged lists, and updates the idle times of copies', () => {
     const agent = new ReportingAgent();
     agent.copies = ['x'];
     agent.prefixes = ['p', 'q'];
     agent.served = {x: 4, y: 2};
-    const entry = newEntry();
-    entry.applyReport(agent.answerTo(entry), 0);
+    const entry = createAgentState();
+    entry.applyReport(agent.answerFor(entry), 0);
     agent.served.x = 5;
     agent.prefixes = ['q', 'r'];
-    const answer = agent.answerTo(entry);
+    const answer = agent.answerFor(entry);
     expect(answer).toMatchObject({
       servedSince: {x: 5},
       prefixesAdded: ['r'],
@@ -161,38 +161,39 @@
     });
     expect(answer).not.toHaveProperty('copies');
     entry.applyReport(answer, 0);
-    expectTruth(entry, agent);
+    expectUpToDate(entry, agent);
     expect(entry.report?.copies[0]?.idleMs).toBe(2);
   });
 
-  // An entry out of touch for long misses more departures than are remembered.
-  it('gives the whole report when departures were forgotten', () => {
+  // An entry that hasn't polled for long misses more removals than the history
+  // holds.
+  it('sends the full report when the history is too short', () => {
     const agent = new ReportingAgent();
     agent.prefixes = ['old'];
-    const entry = newEntry();
-    entry.applyReport(agent.answerTo(entry), 0);
+    const entry = createAgentState();
+    entry.applyReport(agent.answerFor(entry), 0);
     for (let round = 0; round < 1_100; round++) {
       agent.prefixes = [`p${round}`];
-      agent.history.observe(agent.truth());
+      agent.history.observe(agent.currentReport());
     }
-    const answer = agent.answerTo(entry);
+    const answer = agent.answerFor(entry);
     expect(answer).toHaveProperty('copies');
     entry.applyReport(answer, 0);
-    expectTruth(entry, agent);
+    expectUpToDate(entry, agent);
   });
 
-  // The changes were worked out for a report that this entry doesn't hold.
-  it('drops changes since a report that it never had', () => {
+  // The changes are relative to a report that this entry doesn't have.
+  it('drops changes relative to a report that it never received', () => {
     const agent = new ReportingAgent();
     agent.copies = ['x'];
-    const entry = newEntry();
-    const other = newEntry();
-    entry.applyReport(agent.answerTo(entry), 0);
+    const entry = createAgentState();
+    const other = createAgentState();
+    entry.applyReport(agent.answerFor(entry), 0);
     agent.copies = ['y'];
-    other.applyReport(agent.answerTo(other), 0);
-    entry.applyReport(agent.answerTo(other), 0);
+    other.applyReport(agent.answerFor(other), 0);
+    entry.applyReport(agent.answerFor(other), 0);
     expect(entry.reportCursor()?.sequence).toBe(1);
-    entry.applyReport(agent.answerTo(entry), 0);
-    expectTruth(entry, agent);
+    entry.applyReport(agent.answerFor(entry), 0);
+    expectUpToDate(entry, agent);
   });
 });
--- a/packages/banyanfold-entry/src/__tests__/reportPoller.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/reportPoller.test.ts
@@ -34,8 +34,8 @@
     return {poller, state: view.agent('agent-1')!};
   }
 
-  // A copy goes while the entry polls on. Its next answer has to say so.
-  it('names the report it holds, and sees copies come and go', async () => {
+  // A copy is removed between two polls; the next changes must include that.
+  it('sends the cursor of its last report, and applies changed copies', async () => {
     const {poller, state} = createPoller();
     await poller.pollAll();
     expect([...state.runner.artifacts]).toEqual(['claims@1', 'lodging']);
--- a/packages/banyanfold-entry/src/__tests__/settings.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/settings.test.ts
@@ -35,9 +35,9 @@
     expect(checked.error?.issues.map(({message}) => message)).toMatchSnapshot();
   });
 
-  // The decisions were measured with a tenth of each second's requests in the
-  // rate. With a slower meter a burst is seen when it is nearly over.
-  it('has demand follow as fast as it did where it was measured', () => {
+  // Placement decisions were measured with a weight of one tenth for the latest
+  // second. With slower smoothing, a burst is detected when it is nearly over.
+  it('smooths demand as in the measurements of the decisions', () => {
     const {planner} = entrySettingsSchema.parse(REQUIRED);
     const meter = new DemandMeter(planner.demandHalfLifeMs);
     meter.recordMisses('entry-2', {});
@@ -47,7 +47,7 @@
     expect(meter.demandPerSecond('claims@1')).toBeCloseTo(1, 3);
   });
 
-  it('serves callers by TLS when it is set', async () => {
+  it('serves callers over TLS if it is configured', async () => {
     const system = new TestSystem();
     await system.start();
     const certPath = fixture('tls-cert.pem');
