--- a/packages/banyanfold-entry/src/plugins/idempotency.ts
+++ b/packages/banyanfold-entry/src/plugins/idempotency.ts
@@ -100,7 +100,10 @@
     }
   }
 
-  /** Writes the outcome to the log without delaying the caller's response. */
+  /**
+   * Writes the outcome to the log. The caller's response doesn't wait for it,
+   * since it is already final.
+   */
   private recordOutcome(
     job: RequestJob,
     key: string,
--- a/packages/banyanfold-entry/src/plugins/placementView.ts
+++ b/packages/banyanfold-entry/src/plugins/placementView.ts
@@ -53,7 +53,7 @@
 
 /**
  * Builds the input of the placement decision from reports, demand and pending
- * moves. Takes the misses of the demand meter.
+ * moves. Consumes the misses of the demand meter.
  */
 export function buildPlacementView(
   context: EntryContext,
--- a/packages/banyanfold-entry/src/plugins/planner.ts
+++ b/packages/banyanfold-entry/src/plugins/planner.ts
@@ -26,7 +26,7 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-/** Plans placement while this entry is selected by the VM list. */
+/** Plans placement while this entry is the one selected from the VM list. */
 class Planner {
   readonly epoch: PlannerEpoch;
   private readonly meter: DemandMeter;
@@ -49,7 +49,7 @@
     this.epoch.refresh();
     if (this.epoch.current === 0) {
       // The active planner fetches these misses. If they were kept until this
-      // entry takes over, they would count as requests that wait then.
+      // entry takes over, they would count as requests waiting at that time.
       this.meter.takeMisses();
       return true;
     }
@@ -185,7 +185,7 @@
     this.pending.push({move, copyId: proposalId, incarnation, sequence});
   }
 
-  /** Logs the unplaced artifacts only on a change; rounds are frequent. */
+  /** Logs only changes; a line per round would flood the log. */
   private logUnplaced({unplaced}: PlacementDecision): void {
     const summary = unplaced
       .map(({artifact, reason}) => `${artifact}:${reason}`)
