--- a/packages/banyanfold-entry/src/__tests__/leaving.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/leaving.test.ts
@@ -92,7 +92,7 @@
     await cutOff;
   });
 
-  it('is not ready and closes idle connections while leaving', async () => {
+  it('is not ready and closes keep-alive connections while leaving', async () => {
     const port = await system.startReadyEntry({drainNoticeMs: 60_000});
     const client = createEntryClient({
       host: '127.0.0.1',
--- a/packages/banyanfold-entry/src/__tests__/placementView.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/placementView.test.ts
@@ -65,8 +65,9 @@
     ]);
   });
 
-  // Failures are faster than answers. Counted as service times, they would make
-  // demand look small, and no copy would be loaded.
+  // The time of a failure says nothing about the time of an answer. Counted as
+  // a service time, it would make demand look small, and no copy would be
+  // loaded.
   it('records no service time for a failed request', async () => {
     for (const agent of system.agents) agent.fallback = runThenDropConnection;
     const port = await system.startReadyEntry(PLANNING);
--- a/packages/banyanfold-entry/src/plugins/keyOutcomeRecorder.ts
+++ b/packages/banyanfold-entry/src/plugins/keyOutcomeRecorder.ts
@@ -9,8 +9,8 @@
 /**
  * Writes the outcomes of keys to the log and retries through log outages.
  * Without a record, the outcome of a request that ran during an outage would
- * stay unknown at all other entries. The records are idempotent, so a
- * retry is safe.
+ * stay unknown at all other entries. The records are idempotent, so a retry
+ * is safe.
  */
 export class KeyOutcomeRecorder {
   private readonly inFlight = new Set<Promise<unknown>>();
--- a/packages/banyanfold-entry/src/plugins/localRuns.ts
+++ b/packages/banyanfold-entry/src/plugins/localRuns.ts
@@ -31,7 +31,7 @@
     this.runs.delete(key);
   }
 
-  /** The log has held the records of the oldest runs for a long time. */
+  /** Evicts the oldest finished run, whose record is in the log by then. */
   private dropOldestFinished(): void {
     if (this.runs.size <= MAX_FINISHED) return;
     for (const [key, {kind}] of this.runs) {
--- a/packages/banyanfold-entry/src/view/clusterView.ts
+++ b/packages/banyanfold-entry/src/view/clusterView.ts
@@ -53,7 +53,10 @@
     return this.peerEntries;
   }
 
-  /** The live entries, any of which may plan; this one unless it is leaving. */
+  /**
+   * The live entries, any of which may plan, including this one unless it is
+   * leaving.
+   */
   plannerCandidates(selfLeaving: boolean): string[] {
     const others = this.peerEntries
       .filter(vm => vm.state === 'live')
--- a/packages/banyanfold-entry/src/view/poller.ts
+++ b/packages/banyanfold-entry/src/view/poller.ts
@@ -13,8 +13,9 @@
 
 /**
  * Repeats a call with a pause after each, so that at most one is in flight.
- * After failures it backs off with jitter, so that the pollers of all VMs don't
- * call a platform service at the same moment when it recovers from an outage.
+ * After failures it backs off with full jitter, so that the pollers of all VMs
+ * don't call a platform service at the same moment when it recovers from an
+ * outage.
  */
 export class Poller {
   private failures = 0;
