--- a/packages/banyanfold-entry/src/__tests__/leaving.test.ts
+++ b/packages/banyanfold-entry/src/__tests__/leaving.test.ts
@@ -1,7 +1,7 @@
 import {request, type IncomingMessage} from 'node:http';
 import {createEntryClient} from '@banyanfold/protocol';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
-import {framesOf, streamHead, answerWhole} from './kit/behaviours.js';
+import {framesOf, writeStreamHead, answerWhole} from './kit/behaviours.js';
 import {INTERNAL_KEY, type AttemptCall} from './kit/fakeAgent.js';
 import {eventually} from './kit/eventually.js';
 import {CALLER_KEY, CHAT, TestSystem, isReady, post} from './kit/testSystem.js';
@@ -17,22 +17,25 @@
 afterEach(() => system.stop());
 
 describe('createEntry, VMs that leave', () => {
-  // The VM list lags, and an agent may know first, or the other way round.
-  // New work for a leaving server would be cut off with it.
+  // The VM list may lag behind the agent's report or the other way round. New
+  // requests to a leaving server would be cut off when it stops.
   it.each([
-    ['the VM list says so', (vmId: string) => system.leaving.add(vmId)],
     [
-      'its own report says so',
+      'the VM list marks it leaving',
+      (vmId: string) => system.leaving.add(vmId),
+    ],
+    [
+      'its own report says it leaves',
       (vmId: string) => {
         system.agents.find(agent => agent.vmId === vmId)!.leaving = true;
       },
     ],
-  ])('sends no new work to an agent when %s', async (_name, leave) => {
+  ])('sends no new requests to an agent when %s', async (_name, leave) => {
     const port = await system.startReadyEntry();
     leave('agent-1');
     const [agent1, agent2] = system.agents;
     await eventually(
-      () => system.lines.length && explainCandidates(port),
+      () => system.logLines.length && explainCandidates(port),
     ).toContainEqual(['agent-1', 'leaving']);
     agent1!.calls.length = 0;
     for (let i = 0; i < 6; i++) await post(port, CHAT_PATH);
@@ -44,20 +47,20 @@
     const port = await system.startReadyEntry();
     system.vmListIsDown = true;
     await eventually(() =>
-      system.lines.some(line => line.includes('vm-list-failed')),
+      system.logLines.some(line => line.includes('vm-list-failed')),
     ).toBe(true);
     expect((await post(port, CHAT_PATH)).status).toBe(200);
   });
 
-  // An operator drains the entry while a long answer streams. Readiness fails,
-  // new connections are refused, and the stream still runs to its end marker.
-  it('finishes an open stream before it ends', async () => {
+  // An operator drains the entry during a long stream. Readiness fails and new
+  // connections are refused, but the stream must run to its end marker.
+  it('finishes an open stream before the drain ends', async () => {
     const port = await system.startReadyEntry();
     const {entry} = system.entries[0]!;
     let call: AttemptCall | undefined;
     system.next.push(taken => {
       call = taken;
-      streamHead(taken);
+      writeStreamHead(taken);
       taken.res.write(framesOf(taken)[0]!);
     });
     const response = await fetch(`http://127.0.0.1:${port}${CHAT_PATH}`, {
@@ -66,30 +69,30 @@
       body: JSON.stringify({...CHAT, stream: true}),
     });
     const drained = entry.drain();
-    await eventually(() => post(port, CHAT_PATH).catch(refused)).toBe(
+    await eventually(() => post(port, CHAT_PATH).catch(toRefused)).toBe(
       'refused',
     );
     call!.res.end(framesOf(call!).slice(1).join(''));
     expect(await response.text()).toContain('[DONE]');
     await drained;
-    expect(system.lines.at(-1)).toContain('drain-finished');
+    expect(system.logLines.at(-1)).toContain('drain-finished');
   });
 
-  it('says in the log what the bound of a drain cuts off', async () => {
+  it('logs the requests that a drain cuts off at its deadline', async () => {
     await system.startReadyEntry({drainBoundMs: 30});
     const {entry, port} = system.entries[0]!;
     system.next.push(() => {});
-    const cutOff = post(port, CHAT_PATH).catch(refused);
+    const cutOff = post(port, CHAT_PATH).catch(toRefused);
     await eventually(() => system.takeCounts().calls).toBe(1);
     await entry.drain();
-    expect(system.lines.join('\n')).toContain(
+    expect(system.logLines.join('\n')).toContain(
       'event=drain-bound-passed cutOff=1',
     );
     await entry.stop();
     await cutOff;
   });
 
-  it('is not ready and closes kept connections while it leaves', async () => {
+  it('is not ready and closes keep-alive connections while leaving', async () => {
     const port = await system.startReadyEntry({drainNoticeMs: 60_000});
     const client = createEntryClient({
       host: '127.0.0.1',
@@ -113,7 +116,7 @@
 });
 
 describe('createEntry, readiness', () => {
-  it('is not ready without a configuration, and says so to callers', async () => {
+  it('is not ready without a configuration, and refuses requests', async () => {
     system.setLogOutage('refuse');
     const port = await system.startEntry();
     expect(await isReady(port)).toBe(false);
@@ -125,13 +128,13 @@
     ]);
   });
 
-  // A VM is replaced while the log is down. Its peers have the configuration
-  // in force; it must take it from them and serve.
-  it('takes the configuration from a peer while the log is out', async () => {
+  // A VM is replaced while the log is down. It must fetch the active
+  // configuration from its peers and serve.
+  it('fetches the configuration from a peer while the log is down', async () => {
     await system.startReadyEntry();
     system.setLogOutage('cut');
     const port = await system.startReadyEntry();
-    for (const agent of system.agents) agent.otherwise = answerWhole;
+    for (const agent of system.agents) agent.fallback = answerWhole;
     expect((await post(port, CHAT_PATH)).status).toBe(200);
     const [first, second] = await Promise.all(
       system.entries.map(({entry}) => entry.handlers.status()),
@@ -139,7 +142,7 @@
     expect(second!.configVersion).toBe(first!.configVersion);
   });
 
-  it('lets nobody without a key into the control interface', async () => {
+  it('rejects control calls without the internal key', async () => {
     const port = await system.startReadyEntry();
     const client = createEntryClient({
       host: '127.0.0.1',
@@ -150,7 +153,7 @@
   });
 });
 
-const refused = () => 'refused' as const;
+const toRefused = () => 'refused' as const;
 
 async function explainCandidates(_port: number) {
   const {entry} = system.entries[0]!;
--- a/packages/banyanfold-entry/src/plugins/metrics.ts
+++ b/packages/banyanfold-entry/src/plugins/metrics.ts
@@ -1,12 +1,12 @@
 import {entryPlugins, type EntryContext, type EntryPlugin} from '../context.js';
 
-/** Creates the plug-in that measures what operators watch. */
+/** Creates the plug-in that exports the metrics of requests and of the view. */
 export function metricsPlugin(context: EntryContext): EntryPlugin {
   const {metrics, clock, lifecycle, configWatch, view} = context;
   return {
     name: 'metrics',
     async start() {
-      metrics.gauge('open_requests', () => lifecycle.open);
+      metrics.gauge('open_requests', () => lifecycle.openRequestCount);
       metrics.gauge('config_version', () => configWatch.version);
       metrics.gauge(
         'reachable_agents',
--- a/packages/banyanfold-entry/src/plugins/planner.ts
+++ b/packages/banyanfold-entry/src/plugins/planner.ts
@@ -17,8 +17,8 @@
 import {DemandMeter} from './demandMeter.js';
 import {
   isReported,
-  isViewSettled,
-  placementView,
+  isViewComplete,
+  buildPlacementView,
   type PendingMove,
 } from './placementView.js';
 import {PlannerEpoch} from './plannerEpoch.js';
@@ -26,7 +26,7 @@
 
 const FIRST_ERROR_STATUS = 400;
 
-/** Plans placement while this entry is the one that the VM list names. */
+/** Plans placement while this entry is the one selected from the VM list. */
 class Planner {
   readonly epoch: PlannerEpoch;
   private readonly meter: DemandMeter;
@@ -34,65 +34,68 @@
   private pending: PendingMove[] = [];
   private lastLoadMs = -Infinity;
   private lastRoleChangeMs = -Infinity;
-  private unplacedLine = '';
+  private lastUnplacedSummary = '';
 
   constructor(private readonly context: EntryContext) {
     this.epoch = new PlannerEpoch(context);
     this.meter = new DemandMeter(context.settings.planner.demandHalfLifeMs);
   }
 
-  /** One round; every entry measures demand, so that any can take over. */
+  /** Runs one round. Every entry measures demand, so that any can take over. */
   async plan(): Promise<boolean> {
     const {context} = this;
     context.metrics.count('planner_rounds_total');
-    this.noteDemand();
+    this.recordDemand();
     this.epoch.refresh();
     if (this.epoch.current === 0) {
-      // The planner has heard of them. Kept until this entry takes over, they
-      // would count as callers that wait then.
+      // The active planner fetches these misses. If they were kept until this
+      // entry takes over, they would count as requests waiting at that time.
       this.meter.takeMisses();
       return true;
     }
-    await this.askPeersForMisses();
-    const isReady = context.configWatch.ready && isViewSettled(context);
+    await this.fetchPeerMisses();
+    const isReady = context.configWatch.ready && isViewComplete(context);
     if (!isReady) return true;
     const viewedAtMs = context.configWatch.logNowMs;
-    await this.send(this.decide(), viewedAtMs);
+    await this.proposeMoves(this.decide(), viewedAtMs);
     return true;
   }
 
   /**
-   * Runs a request and learns how long its answer took. A request that was
-   * tried more than once is left out: its time is not that of one answer.
+   * Runs a request and records its service time. Requests with several attempts
+   * are excluded, since their time covers more than one answer.
    */
-  async measure(job: RequestJob, next: NextStep): Promise<RequestResult> {
+  async measureServiceTime(
+    job: RequestJob,
+    next: NextStep,
+  ): Promise<RequestResult> {
     const {clock} = this.context;
     const startedMs = clock.nowMs();
     const result = await next();
-    if (job.attempts === 1 && isAnswered(result)) {
+    if (job.attempts === 1 && isSuccessful(result)) {
       const tookMs = clock.nowMs() - startedMs;
-      this.serviceTimes.note(job.target.artifact, tookMs);
+      this.serviceTimes.record(job.target.artifact, tookMs);
     }
     return result;
   }
 
-  private noteDemand(): void {
+  private recordDemand(): void {
     const {view, misses, settings, clock} = this.context;
     for (const {report} of view.agents()) {
-      if (report) this.meter.noteReport(report);
+      if (report) this.meter.recordReport(report);
     }
-    this.meter.noteMisses(settings.vmId, misses.snapshot());
-    this.meter.close(clock.nowMs());
+    this.meter.recordMisses(settings.vmId, misses.snapshot());
+    this.meter.endWindow(clock.nowMs());
   }
 
-  private async askPeersForMisses(): Promise<void> {
+  private async fetchPeerMisses(): Promise<void> {
     const {settings, view} = this.context;
     const peers = view.peers().filter(vm => vm.state === 'live');
     await Promise.allSettled(
       peers.map(async ({vmId, host, port}) => {
         const {internalKey, reportTimeoutMs: timeoutMs} = settings;
         const client = createEntryClient({host, port, internalKey, timeoutMs});
-        this.meter.noteMisses(vmId, await fetchMisses(client));
+        this.meter.recordMisses(vmId, await fetchMisses(client));
       }),
     );
   }
@@ -101,8 +104,8 @@
     const {context} = this;
     const {loadsPerSecond, loadsAtOnce, attainmentWeight, moveWeight} =
       context.settings.planner;
-    this.dropReported();
-    const view = placementView(
+    this.dropReportedMoves();
+    const view = buildPlacementView(
       context,
       {demand: this.meter, serviceTimes: this.serviceTimes},
       this.pending,
@@ -120,7 +123,7 @@
     return decision;
   }
 
-  private dropReported(): void {
+  private dropReportedMoves(): void {
     const {view} = this.context;
     this.pending = this.pending.filter(pending => {
       const agent = view.agent(pending.move.vmId);
@@ -128,7 +131,7 @@
     });
   }
 
-  private async send(
+  private async proposeMoves(
     {moves}: PlacementDecision,
     viewedAtMs: number | undefined,
   ): Promise<void> {
@@ -150,14 +153,14 @@
     const proposalId = uuidV4();
     const {incarnation} = agent;
     const sequence = agent.digest?.sequence ?? 0;
-    const {reason, vmId: _vmId, ...what} = move;
+    const {reason, vmId: _vmId, ...proposal} = move;
     const result = await context.clients
-      .of(agent)
+      .clientFor(agent)
       .propose.mutate({
         proposalId,
         plannerEpoch: this.epoch.current,
         viewedAtMs,
-        ...what,
+        ...proposal,
       })
       .catch((error: unknown) => ({
         accepted: false,
@@ -177,28 +180,28 @@
       accepted: result.accepted,
       answer: result.reason,
     });
-    if (result.reason === 'old-planner') this.epoch.lost();
+    if (result.reason === 'old-planner') this.epoch.invalidate();
     if (!result.accepted) return;
     this.pending.push({move, copyId: proposalId, incarnation, sequence});
   }
 
-  /** The same list each second would hide everything else in the log. */
+  /** Logs only changes; a line per round would flood the log. */
   private logUnplaced({unplaced}: PlacementDecision): void {
-    const line = unplaced
+    const summary = unplaced
       .map(({artifact, reason}) => `${artifact}:${reason}`)
       .join(',');
-    if (line === this.unplacedLine) return;
-    this.unplacedLine = line;
-    this.context.logger.warn('unplaced', {artifacts: line || 'none'});
+    if (summary === this.lastUnplacedSummary) return;
+    this.lastUnplacedSummary = summary;
+    this.context.logger.warn('unplaced', {artifacts: summary || 'none'});
   }
 }
 
-function isAnswered(result: RequestResult): boolean {
+function isSuccessful(result: RequestResult): boolean {
   if (result.kind === 'streamed') return true;
   return result.kind === 'answer' && result.answer.status < FIRST_ERROR_STATUS;
 }
 
-/** Creates the plug-in that plans placement. */
+/** Creates the plug-in that plans which runner loads which artifact. */
 export function plannerPlugin(context: EntryContext): EntryPlugin {
   const {clock, random, settings} = context;
   const planner = new Planner(context);
@@ -217,7 +220,7 @@
     async stop() {
       poller.stop();
     },
-    aroundRequest: (job, next) => planner.measure(job, next),
+    aroundRequest: (job, next) => planner.measureServiceTime(job, next),
     plannerEpoch: () => planner.epoch.current,
   };
 }
--- a/packages/banyanfold-entry/src/view/agentClients.ts
+++ b/packages/banyanfold-entry/src/view/agentClients.ts
@@ -2,7 +2,7 @@
 import type {EntrySettings} from '../settings.js';
 import type {AgentState} from './agentState.js';
 
-/** The control clients of the agents, one for each address. */
+/** Creates and caches the control clients of agents, one per address. */
 export class AgentClients {
   private readonly clients = new Map<string, AgentClient>();
 
@@ -11,7 +11,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  of(agent: AgentState): AgentClient {
+  clientFor(agent: AgentState): AgentClient {
     const {host, port} = agent.vm;
     const address = `${host}:${port}`;
     let client = this.clients.get(address);
