--- a/packages/banyanfold-cli/src/commands/publish.ts
+++ b/packages/banyanfold-cli/src/commands/publish.ts
@@ -94,7 +94,7 @@
       );
     }
     if (verdict.value.kind === 'accepted') return verdict.value.version;
-    const {why, currentVersion} = verdict.value;
+    const {reason: why, currentVersion} = verdict.value;
     this.fail(
       `void (${why}): based on version ${baseVersion}, but version ` +
         `${currentVersion} is in force; nothing of it was taken. Get that ` +
--- a/packages/banyanfold-config/src/__tests__/configFold.test.ts
+++ b/packages/banyanfold-config/src/__tests__/configFold.test.ts
@@ -127,7 +127,7 @@
               fold.restore(truth.snapshots[position + count - 3]);
             }
             if (kind === 'read') {
-              fold.noteFirstOffset(position);
+              fold.detectGap(position);
               for (const record of truth.records.slice(
                 position - 1,
                 position - 1 + count,
@@ -161,7 +161,7 @@
     fold.apply({offset: 4, value: publish(1, 2)});
     expect([fold.verdict('nonce-2'), fold.verdict('nonce-3')]).toEqual([
       {kind: 'accepted', version: 2},
-      {kind: 'void', why: 'other-base', currentVersion: 2},
+      {kind: 'void', reason: 'other-base', currentVersion: 2},
     ]);
     expect(fold.verdict(4)).toMatchObject({kind: 'void'});
   });
@@ -198,6 +198,6 @@
       seen.push(fold.state?.version);
     });
     expect(seen).toEqual([undefined, undefined, undefined, 6]);
-    expect(fold.verdict(5)).toMatchObject({kind: 'void', why: 'other-base'});
+    expect(fold.verdict(5)).toMatchObject({kind: 'void', reason: 'other-base'});
   });
 });
--- a/packages/banyanfold-config/src/compileConfig.ts
+++ b/packages/banyanfold-config/src/compileConfig.ts
@@ -24,7 +24,7 @@
   Partial<Pick<RequestAttributes, 'headers'>>;
 
 /** A model or adapter that a selector reaches, and so must stay reachable. */
-export interface LabelledArtifact {
+export interface RoutableArtifact {
   artifact: string;
   /** The model's artifact; the same as `artifact` for a model. */
   modelArtifact: string;
@@ -40,7 +40,7 @@
   readonly config: PublishedConfig;
   resolve(attributes: RequestAttributes): Result<ResolvedTarget, ResolveError>;
   visibleNames(viewer: NameViewer): string[];
-  artifacts(): readonly LabelledArtifact[];
+  artifacts(): readonly RoutableArtifact[];
 }
 
 interface Route {
@@ -179,7 +179,7 @@
 function listArtifacts(
   config: PublishedConfig,
   routes: readonly Route[],
-): LabelledArtifact[] {
+): RoutableArtifact[] {
   const best = new Map<string, Selector>();
   const keepBest = (artifact: string, selector: Selector): void => {
     const known = best.get(artifact);
@@ -199,7 +199,7 @@
     artifact: string,
     base: string,
     bytes: number,
-  ): LabelledArtifact[] => {
+  ): RoutableArtifact[] => {
     const selector = best.get(artifact);
     if (!selector) return [];
     const {priority, runnerRole = ''} = selector;
--- a/packages/banyanfold-config/src/configFold.ts
+++ b/packages/banyanfold-config/src/configFold.ts
@@ -14,7 +14,7 @@
 /** Whether a published record is in force, or why it is void. */
 export type ConfigVerdict =
   | {kind: 'accepted'; version: number}
-  | {kind: 'void'; why: VoidReason; currentVersion: number};
+  | {kind: 'void'; reason: VoidReason; currentVersion: number};
 
 export type VoidReason = 'other-base' | 'invalid-body';
 
@@ -71,7 +71,7 @@
    * Says that the log keeps nothing before `firstOffset`, which is how a gap
    * shows when no record follows it yet.
    */
-  noteFirstOffset(firstOffset: number): void {
+  detectGap(firstOffset: number): void {
     if (firstOffset <= this.nextOffset) return;
     this.buffer = [];
     this.bufferFirstOffset = firstOffset;
@@ -81,7 +81,7 @@
   apply(record: ConfigLogRecord): void {
     const {offset} = record;
     if (offset < this.nextOffset) return;
-    this.noteFirstOffset(offset);
+    this.detectGap(offset);
     const event = readConfigEvent(record.value, offset);
     if (!this.buffer) {
       this.fold(offset, event);
@@ -152,12 +152,12 @@
     const {baseVersion, body, nonce} = event;
     if (baseVersion !== currentVersion) {
       const why = 'other-base';
-      this.remember(offset, nonce, {kind: 'void', why, currentVersion});
+      this.remember(offset, nonce, {kind: 'void', reason: why, currentVersion});
       return;
     }
     if (!body) {
       const why = 'invalid-body';
-      this.remember(offset, nonce, {kind: 'void', why, currentVersion});
+      this.remember(offset, nonce, {kind: 'void', reason: why, currentVersion});
       return;
     }
     this.current = {version: offset, foldedThrough: offset, body};
--- a/packages/banyanfold-log/src/configFollower.ts
+++ b/packages/banyanfold-log/src/configFollower.ts
@@ -186,7 +186,7 @@
   }
 
   private applyPage(page: FollowedPage): void {
-    this.fold.noteFirstOffset(page.firstOffset);
+    this.fold.detectGap(page.firstOffset);
     for (const record of page.records) {
       this.fold.apply(record);
       this.checkpointer.note(record);
