--- a/packages/banyanfold-cli/src/commands/publish.ts
+++ b/packages/banyanfold-cli/src/commands/publish.ts
@@ -94,9 +94,9 @@
       );
     }
     if (verdict.value.kind === 'accepted') return verdict.value.version;
-    const {reason: why, currentVersion} = verdict.value;
+    const {reason, currentVersion} = verdict.value;
     this.fail(
-      `void (${why}): based on version ${baseVersion}, but version ` +
+      `void (${reason}): based on version ${baseVersion}, but version ` +
         `${currentVersion} is in force; nothing of it was taken. Get that ` +
         'one with "published", merge and publish again',
       EXIT_CODES.publishVoid,
--- a/packages/banyanfold-config/src/__tests__/compileConfig.test.ts
+++ b/packages/banyanfold-config/src/__tests__/compileConfig.test.ts
@@ -35,11 +35,11 @@
     ['vanua', '', 'nothing', 'unknown-name'],
     ['vanua', '', 'drafting@9', 'unknown-name'],
     ['vanua', '', 'unused', 'no-selector'],
-  ])('%s at desk "%s" asks for %s: %s', (caller, desk, name, expected) => {
+  ])('%s at desk "%s" requests %s: %s', (caller, desk, name, expected) => {
     expect(resolve(caller, desk, name)).toBe(expected);
   });
 
-  it('takes the first selector that fits', () => {
+  it('uses the first selector that matches', () => {
     const urgent = resolve('vanua', '', 'drafting', {'x-urgent': 'yes'});
     expect(urgent).toBe('urgent-drafts model drafting@2 drafting@2');
   });
@@ -57,7 +57,7 @@
 });
 
 describe('compileConfig', () => {
-  it('lists each artifact that a selector reaches, with its best priority', () => {
+  it('lists each artifact that a selector covers, with its most urgent priority', () => {
     const rows = compileConfig(exampleConfig())
       .artifacts()
       .map(row => Object.values(row).join(' '));
--- a/packages/banyanfold-config/src/__tests__/configFold.test.ts
+++ b/packages/banyanfold-config/src/__tests__/configFold.test.ts
@@ -6,30 +6,30 @@
 const SEED = 20_262;
 const RUNS = 3_000;
 
-function bodyOf(serial: number) {
+function createBody(serial: number) {
   const service = {name: `service-${serial}`};
   return publishedConfigSchema.parse({services: [service]});
 }
 
 function publish(baseVersion: number, serial: number) {
   const nonce = `nonce-${serial}`;
-  const body = bodyOf(serial);
+  const body = createBody(serial);
   return {kind: 'publish', baseVersion, nonce, publisher: 'ana', body};
 }
 
-/** One fails the schema, the other names a group that isn't there. */
+/** The first violates the schema, the second refers to a missing group. */
 const INVALID_BODIES = [
   {models: 'many'},
   {selectors: [{name: 'lost', group: 'none'}]},
 ];
 
-/** How a record comes about; versions and checkpoints depend on the log. */
-type Draft =
+/** Template of a record; its versions are filled in from the log before it. */
+type RecordTemplate =
   | {kind: 'publish'; versionsBack: number; invalidBody: unknown}
   | {kind: 'checkpoint'; foldedBack: number}
   | {kind: 'junk'; value: unknown};
 
-const draftArbitrary: fc.Arbitrary<Draft> = fc.oneof(
+const templateArbitrary: fc.Arbitrary<RecordTemplate> = fc.oneof(
   fc.record({
     kind: fc.constant('publish' as const),
     versionsBack: fc.constantFrom(0, 0, 0, 1, 2),
@@ -45,90 +45,93 @@
   }),
 );
 
-interface Truth {
+interface ReferenceLog {
   records: ConfigLogRecord[];
-  /** The version after each offset; 0 before the first. */
+  /** The version in force after each offset; 0 before the first publish. */
   versions: number[];
   snapshots: unknown[];
 }
 
-/** Builds the log, with a plain statement of the rule beside the fold. */
-function buildTruth(drafts: Draft[]): Truth {
+/** Builds a log and derives the expected states independently of the fold. */
+function buildReferenceLog(templates: RecordTemplate[]): ReferenceLog {
   const records: ConfigLogRecord[] = [];
   const versions = [0];
   const snapshots: unknown[] = [undefined];
   const accepted = [0];
-  drafts.forEach((draft, index) => {
+  templates.forEach((template, index) => {
     const offset = index + 1;
     let version = accepted.at(-1)!;
-    let value: unknown = draft.kind === 'junk' ? draft.value : undefined;
-    if (draft.kind === 'checkpoint') {
-      const at = Math.max(0, index - draft.foldedBack);
+    let value: unknown = template.kind === 'junk' ? template.value : undefined;
+    if (template.kind === 'checkpoint') {
+      const at = Math.max(0, index - template.foldedBack);
       value = {kind: 'checkpoint', ...(snapshots[at] as object | undefined)};
     }
-    if (draft.kind === 'publish') {
-      const base = accepted.at(-1 - draft.versionsBack) ?? 0;
-      const {invalidBody} = draft;
-      const body = invalidBody ?? bodyOf(offset);
+    if (template.kind === 'publish') {
+      const base = accepted.at(-1 - template.versionsBack) ?? 0;
+      const {invalidBody} = template;
+      const body = invalidBody ?? createBody(offset);
       value = {...publish(base, offset), body};
       if (base === version && !invalidBody) version = offset;
     }
     if (version !== accepted.at(-1)) accepted.push(version);
     records.push({offset, value});
     versions.push(version);
-    const body = bodyOf(version);
+    const body = createBody(version);
     const snapshot = {version, foldedThrough: offset, body};
     snapshots.push(version === 0 ? undefined : snapshot);
   });
   return {records, versions, snapshots};
 }
 
-/** What a reader does: read on, lose some records, or hear from a peer. */
-type Move = {kind: 'read' | 'lose' | 'restore'; count: number};
+/** A reader reads records, loses some, or receives the state of a peer. */
+type ReaderStep = {kind: 'read' | 'lose' | 'restore'; count: number};
 
-const moveArbitrary: fc.Arbitrary<Move> = fc.record({
+const stepArbitrary: fc.Arbitrary<ReaderStep> = fc.record({
   kind: fc.constantFrom('read', 'read', 'read', 'lose', 'restore'),
   count: fc.nat({max: 6}),
 });
 
-function checkAgainst(fold: ConfigFold, {versions, snapshots}: Truth): void {
+function expectMatchesReference(
+  fold: ConfigFold,
+  {versions, snapshots}: ReferenceLog,
+): void {
   const {state, foldedThrough} = fold;
   expect(state?.version ?? 0).toBe(versions[foldedThrough]);
   expect(state).toEqual(snapshots[foldedThrough]);
 }
 
 /*
- * Operators race, and their records carry old bases, invalid bodies or junk;
- * checkpoints were folded through some earlier offset. Readers begin anywhere,
- * lose records to the retention, and hear from peers ahead of or behind them.
- * At each step a reader's state must be the true one as of the offset that it
- * claims to have folded through, and its version must never go back.
+ * Guards against readers that disagree about the version in force. The logs
+ * contain stale bases, invalid bodies, junk and checkpoints of earlier offsets;
+ * readers lose records to the retention and receive states of peers ahead of or
+ * behind them. After each step, a reader's state must match the reference at
+ * its folded offset, and its version must not decrease.
  */
 describe('ConfigFold', () => {
   it(`agrees with the log and never reverts (seed ${SEED}, ${RUNS} runs)`, () => {
-    const met = {recovered: 0, waiting: 0};
+    const counts = {recovered: 0, waiting: 0};
     fc.assert(
       fc.property(
-        fc.array(draftArbitrary, {minLength: 10, maxLength: 40}),
-        fc.array(moveArbitrary, {maxLength: 40}),
-        (drafts, moves) => {
-          const truth = buildTruth(drafts);
+        fc.array(templateArbitrary, {minLength: 10, maxLength: 40}),
+        fc.array(stepArbitrary, {maxLength: 40}),
+        (templates, steps) => {
+          const reference = buildReferenceLog(templates);
           const fold = new ConfigFold();
           let position = 1;
           let lastVersion = 0;
           let lastFolded = 0;
-          for (const {kind, count} of moves) {
-            const wasWaiting = fold.needsBase;
-            const endOffset = truth.records.length + 1;
+          for (const {kind, count} of steps) {
+            const hadGap = fold.needsBase;
+            const endOffset = reference.records.length + 1;
             if (kind === 'lose') {
               position = Math.min(endOffset, position + count);
             }
             if (kind === 'restore') {
-              fold.restore(truth.snapshots[position + count - 3]);
+              fold.restore(reference.snapshots[position + count - 3]);
             }
             if (kind === 'read') {
               fold.detectGap(position);
-              for (const record of truth.records.slice(
+              for (const record of reference.records.slice(
                 position - 1,
                 position - 1 + count,
               )) {
@@ -136,24 +139,24 @@
                 position = record.offset + 1;
               }
             }
-            checkAgainst(fold, truth);
+            expectMatchesReference(fold, reference);
             const version = fold.state?.version ?? 0;
             expect(version).toBeGreaterThanOrEqual(lastVersion);
             expect(fold.foldedThrough).toBeGreaterThanOrEqual(lastFolded);
             lastVersion = version;
             lastFolded = fold.foldedThrough;
-            if (fold.needsBase) met.waiting++;
-            if (wasWaiting && !fold.needsBase) met.recovered++;
+            if (fold.needsBase) counts.waiting++;
+            if (hadGap && !fold.needsBase) counts.recovered++;
           }
         },
       ),
       {seed: SEED, numRuns: RUNS},
     );
-    // Gaps and recoveries must both have been met, or nothing was tested.
-    expect(Math.min(met.recovered, met.waiting)).toBeGreaterThan(100);
+    // Without gaps and recoveries, the property would hold trivially.
+    expect(Math.min(counts.recovered, counts.waiting)).toBeGreaterThan(100);
   });
 
-  it('says of two racing publishers that the second is void', () => {
+  it('marks the second of two concurrent publishes as void', () => {
     const fold = new ConfigFold();
     fold.apply({offset: 1, value: publish(0, 1)});
     fold.apply({offset: 2, value: publish(1, 2)});
@@ -166,25 +169,25 @@
     expect(fold.verdict(4)).toMatchObject({kind: 'void'});
   });
 
-  it('takes no older version, whatever a peer claims to have folded', () => {
+  it('rejects an older version, even if the peer folded a later offset', () => {
     const fold = new ConfigFold();
     fold.apply({offset: 1, value: publish(0, 1)});
     fold.apply({offset: 2, value: publish(1, 2)});
-    const older = {version: 1, foldedThrough: 9, body: bodyOf(1)};
+    const older = {version: 1, foldedThrough: 9, body: createBody(1)};
     expect(fold.restore(older)).toBe(false);
     expect(fold.state?.version).toBe(2);
   });
 
   /*
-   * A VM starts when the log has forgotten the first records. The publish it
-   * finds may be void, so nothing is in force until a checkpoint covers the
-   * start; then it judges what it had read already.
+   * A VM starts after the log has deleted its first records. The first publish
+   * that it reads may be void, so no version is in force until a checkpoint
+   * covers the gap; then the buffered records are evaluated.
    */
-  it('lets a newcomer begin from a checkpoint and judge what it buffered', () => {
+  it('starts from a checkpoint and evaluates the buffered records', () => {
     const fold = new ConfigFold();
     const seen: Array<number | undefined> = [];
     const checkpointOf = (foldedThrough: number) => {
-      const body = bodyOf(2);
+      const body = createBody(2);
       return {kind: 'checkpoint', version: 2, foldedThrough, body};
     };
     const values = [
--- a/packages/banyanfold-config/src/__tests__/exampleConfig.ts
+++ b/packages/banyanfold-config/src/__tests__/exampleConfig.ts
@@ -2,7 +2,7 @@
 
 const GIB = 2 ** 30;
 
-/** A co-operative with two versions of a drafting model, and a desk model. */
+/** Two versions of a drafting model, and a desk model with an adapter. */
 export function exampleConfig(): PublishedConfig {
   return publishedConfigSchema.parse({
     models: [
--- a/packages/banyanfold-config/src/__tests__/parseConfig.test.ts
+++ b/packages/banyanfold-config/src/__tests__/parseConfig.test.ts
@@ -29,7 +29,7 @@
 const capacity = {totalBytes: 800, largestServerBytes: 500};
 
 describe('parseConfig', () => {
-  it('finds each wrong reference with its line and column', () => {
+  it('reports each wrong reference with its line and column', () => {
     const result = parseConfig('fold.jsonc', TEXT);
     expect(renderProblems(result._unsafeUnwrapErr())).toMatchInlineSnapshot(`
       "fold.jsonc:5:33: models[1].version: "desk@1" is listed twice; remove one
@@ -41,7 +41,7 @@
     `);
   });
 
-  it('only warns of empty groups and of what does not fit', () => {
+  it('warns about empty groups and models that do not fit', () => {
     const text = TEXT.replace(/.*"weightBytes": (200|1)\}.*\n/g, '')
       .replace('900},', '900}')
       .replace('{"name": "desk"}', '')
@@ -58,7 +58,7 @@
 });
 
 describe('renderSchema', () => {
-  it('is what is committed; `npm run schema` writes it', () => {
+  it('equals the committed schema (`npm run schema` updates it)', () => {
     const file = '../../schema/published-config.schema.json';
     const committed = readFileSync(new URL(file, import.meta.url), 'utf8');
     expect(committed).toBe(renderSchema());
--- a/packages/banyanfold-config/src/artifact.ts
+++ b/packages/banyanfold-config/src/artifact.ts
@@ -1,7 +1,7 @@
 import type {Adapter, Model} from './types.js';
 
 /**
- * The name under which engines know a version of a model.
+ * Returns the engines' identifier for one version of a model.
  *
  * @example modelArtifact({name: 'claims', version: '3'}) // 'claims@3'
  */
@@ -10,7 +10,7 @@
 }
 
 /**
- * The name under which engines know a version of an adapter.
+ * Returns the engines' identifier for one version of an adapter.
  *
  * @example
  * adapterArtifact({model: 'claims', modelVersion: '3', name: 'suva',
--- a/packages/banyanfold-config/src/compileConfig.ts
+++ b/packages/banyanfold-config/src/compileConfig.ts
@@ -8,34 +8,34 @@
   Selector,
 } from './types.js';
 
-/** Why a request leads nowhere. */
+/** Explains why a request resolves to no target. */
 export interface ResolveError {
   /**
-   * `forbidden`: no selector allows this caller that name; `unknown-name`:
-   * nothing published has the name; `no-selector`: published, but no selector
-   * leads to it for anyone.
+   * `forbidden`: no selector grants this caller access to the name;
+   * `unknown-name`: nothing published has the name; `no-selector`: the name is
+   * published, but no selector covers it for any caller.
    */
   code: 'no-selector' | 'unknown-name' | 'forbidden';
   message: string;
 }
 
-/** Who asks for the list of names. */
+/** The caller that requests the list of names. */
 export type NameViewer = Pick<RequestAttributes, 'caller' | 'desk'> &
   Partial<Pick<RequestAttributes, 'headers'>>;
 
-/** A model or adapter that a selector reaches, and so must stay reachable. */
+/** A model or adapter that a selector covers, and so must stay available. */
 export interface RoutableArtifact {
   artifact: string;
-  /** The model's artifact; the same as `artifact` for a model. */
+  /** Artifact of the base model; equals `artifact` for a model. */
   modelArtifact: string;
   bytes: number;
-  /** The best priority of the selectors that reach it; 0 is first. */
+  /** The most urgent priority of the selectors that cover it; 0 is highest. */
   priority: number;
-  /** What the selector with that priority prefers; empty for any. */
+  /** The runner role that this selector prefers; empty for any role. */
   runnerRole: string;
 }
 
-/** A configuration with its indexes, made once for each version. */
+/** A configuration with its lookup indexes, built once per version. */
 export interface CompiledConfig {
   readonly config: PublishedConfig;
   resolve(attributes: RequestAttributes): Result<ResolvedTarget, ResolveError>;
@@ -49,7 +49,7 @@
 }
 
 /**
- * Compiles a configuration, so that a request is resolved by look-ups.
+ * Builds the indexes that let a request be resolved by map lookups.
  *
  * @example
  * const compiled = compileConfig(config);
@@ -58,20 +58,20 @@
  */
 export function compileConfig(config: PublishedConfig): CompiledConfig {
   const groups = indexGroups(config);
-  const routes = toRoutes(config, groups);
+  const routes = buildRoutes(config, groups);
   const artifacts = listArtifacts(config, routes);
   const knownNames = collectNames(config, groups);
   return {
     config,
-    resolve: attributes => resolveBy(routes, knownNames, attributes),
-    visibleNames: viewer => listNames(routes, viewer),
+    resolve: attributes => resolveWithRoutes(routes, knownNames, attributes),
+    visibleNames: viewer => listVisibleNames(routes, viewer),
     artifacts: () => artifacts,
   };
 }
 
 /**
- * Finds where a request may go: the first selector, in listed order, whose
- * match fits and whose group contains the requested name.
+ * Resolves the target of a request: the first selector, in listed order, that
+ * matches the request and whose group contains the requested name.
  *
  * @example
  * resolveRequest(config, {caller: 'vanua', desk: 'claims',
@@ -85,7 +85,7 @@
 }
 
 /**
- * The names a caller may ask for, without versions and services.
+ * Lists the names that a caller may request, without versions and services.
  *
  * @example visibleNames(config, {caller: 'vanua', desk: 'claims'})
  */
@@ -96,7 +96,7 @@
   return compileConfig(config).visibleNames(viewer);
 }
 
-function toRoutes(
+function buildRoutes(
   config: PublishedConfig,
   groups: ReadonlyMap<string, GroupIndex>,
 ): Route[] {
@@ -108,7 +108,7 @@
   return routes;
 }
 
-function resolveBy(
+function resolveWithRoutes(
   routes: readonly Route[],
   knownNames: ReadonlySet<string>,
   attributes: RequestAttributes,
@@ -122,16 +122,16 @@
     const destination = group.byName.get(requestedName);
     if (destination) return ok({selector, ...destination});
   }
-  return err(refusal(routes, knownNames, requestedName, isCallerKnown));
+  return err(toResolveError(routes, knownNames, requestedName, isCallerKnown));
 }
 
-function refusal(
+function toResolveError(
   routes: readonly Route[],
   knownNames: ReadonlySet<string>,
   name: string,
   isCallerKnown: boolean,
 ): ResolveError {
-  // A caller whom nothing allows learns nothing about what is published.
+  // An unauthorized caller must not learn which names are published.
   if (!isCallerKnown) {
     return {code: 'forbidden', message: 'no selector allows this caller'};
   }
@@ -157,7 +157,7 @@
   return true;
 }
 
-/** A selector for `drafting` speaks of `drafting@2` as well. */
+/** A selector for `drafting` matches every version, such as `drafting@2`. */
 function matchesName(selector: Selector, requestedName: string): boolean {
   const {names} = selector.match;
   if (names.length === 0 || names.includes(requestedName)) return true;
@@ -165,7 +165,10 @@
   return names.includes(plainName);
 }
 
-function listNames(routes: readonly Route[], viewer: NameViewer): string[] {
+function listVisibleNames(
+  routes: readonly Route[],
+  viewer: NameViewer,
+): string[] {
   const names = new Set<string>();
   for (const {selector, group} of routes) {
     if (!matchesCaller(selector, viewer)) continue;
@@ -180,37 +183,37 @@
   config: PublishedConfig,
   routes: readonly Route[],
 ): RoutableArtifact[] {
-  const best = new Map<string, Selector>();
+  const bestSelectors = new Map<string, Selector>();
   const keepBest = (artifact: string, selector: Selector): void => {
-    const known = best.get(artifact);
+    const known = bestSelectors.get(artifact);
     if (!known || selector.priority < known.priority) {
-      best.set(artifact, selector);
+      bestSelectors.set(artifact, selector);
     }
   };
   for (const {selector, group} of routes) {
     for (const destination of group.destinations) {
       if (destination.kind === 'service') continue;
       keepBest(destination.artifact, selector);
-      // An adapter answers only where its model is held.
+      // An adapter runs only on a server that holds its base model.
       keepBest(destination.modelArtifact, selector);
     }
   }
-  const toLabelled = (
+  const toRoutable = (
     artifact: string,
     base: string,
     bytes: number,
   ): RoutableArtifact[] => {
-    const selector = best.get(artifact);
+    const selector = bestSelectors.get(artifact);
     if (!selector) return [];
     const {priority, runnerRole = ''} = selector;
     return [{artifact, modelArtifact: base, bytes, priority, runnerRole}];
   };
   const models = [...indexModels(config)].flatMap(([artifact, model]) =>
-    toLabelled(artifact, artifact, model.weightBytes),
+    toRoutable(artifact, artifact, model.weightBytes),
   );
   const adapters = config.adapters.flatMap(adapter => {
     const base = {name: adapter.model, version: adapter.modelVersion};
-    return toLabelled(
+    return toRoutable(
       adapterArtifact(adapter),
       modelArtifact(base),
       adapter.weightBytes,
--- a/packages/banyanfold-config/src/configFold.ts
+++ b/packages/banyanfold-config/src/configFold.ts
@@ -11,7 +11,7 @@
   value: unknown;
 }
 
-/** Whether a published record is in force, or why it is void. */
+/** Whether a publish record was accepted, or the reason why it is void. */
 export type ConfigVerdict =
   | {kind: 'accepted'; version: number}
   | {kind: 'void'; reason: VoidReason; currentVersion: number};
@@ -23,20 +23,22 @@
   event: ConfigEvent;
 }
 
-/** Verdicts are asked for soon after the append; older ones are dropped. */
+/** Publishers read a verdict soon after the append, so old ones are evicted. */
 const MAX_VERDICTS = 1024;
 
 /**
- * Folds the `config` stream into the configuration in force. It depends on
- * the records alone, so every reader that has folded through an offset has
- * the same version, and of two racing records the second is void everywhere.
+ * Folds the `config` stream into the configuration in force. The result
+ * depends only on the records, so all readers that have folded through the same
+ * offset have the same version, and the second of two concurrent publishes is
+ * void for every reader.
  *
- * The log forgets. A reader that misses records can't tell whether a later
- * publish had the right base: judging it anyway would put a version in force
- * here that is void elsewhere. So it keeps what it has, buffers what follows
- * the gap, and goes on from the first checkpoint, or peer's state, that was
- * folded through the gap's end or later. That is enough, because such a state
- * was made by a reader without a gap, and every record after it is buffered.
+ * The log deletes records after its retention time. A reader that misses records
+ * can't determine whether a later publish had the right base; applying it anyway
+ * could put a version in force here that is void elsewhere. The reader therefore
+ * keeps its state, buffers the records after the gap, and resumes from the first
+ * checkpoint or peer state that was folded through the end of the gap or later.
+ * Such a state comes from a reader without a gap, and every record after it is in
+ * the buffer.
  *
  * @example
  * const fold = new ConfigFold();
@@ -44,17 +46,17 @@
  * fold.state?.version // 1
  */
 export class ConfigFold {
-  private current: ConfigState | undefined;
+  private currentState: ConfigState | undefined;
   private foldedThroughOffset = 0;
-  /** Set while there is a gap: the records after it, without another gap. */
-  private buffer: BufferedEvent[] | undefined;
-  private bufferFirstOffset = 0;
-  private readonly byOffset = new Map<number, ConfigVerdict>();
-  private readonly byNonce = new Map<string, ConfigVerdict>();
+  /** The contiguous records after a gap; undefined while there is no gap. */
+  private bufferedEvents: BufferedEvent[] | undefined;
+  private bufferStartOffset = 0;
+  private readonly verdictsByOffset = new Map<number, ConfigVerdict>();
+  private readonly verdictsByNonce = new Map<string, ConfigVerdict>();
 
   /** The configuration in force, or undefined when none is known. */
   get state(): ConfigState | undefined {
-    return this.current;
+    return this.currentState;
   }
 
   /** The highest offset whose effect is in `state`. */
@@ -62,124 +64,132 @@
     return this.foldedThroughOffset;
   }
 
-  /** Whether a gap keeps the fold from judging what follows. */
+  /** Whether a gap prevents the evaluation of further records. */
   get needsBase(): boolean {
-    return this.buffer !== undefined;
+    return this.bufferedEvents !== undefined;
   }
 
   /**
-   * Says that the log keeps nothing before `firstOffset`, which is how a gap
-   * shows when no record follows it yet.
+   * Starts a gap if the log no longer holds the next record. `firstOffset` is the
+   * first offset that it still holds; this finds a gap with no record after it.
    */
   detectGap(firstOffset: number): void {
     if (firstOffset <= this.nextOffset) return;
-    this.buffer = [];
-    this.bufferFirstOffset = firstOffset;
+    this.bufferedEvents = [];
+    this.bufferStartOffset = firstOffset;
   }
 
-  /** Takes in the next record; one that was seen already changes nothing. */
+  /** Applies the next record; a record that was already applied is ignored. */
   apply(record: ConfigLogRecord): void {
     const {offset} = record;
     if (offset < this.nextOffset) return;
     this.detectGap(offset);
     const event = readConfigEvent(record.value, offset);
-    if (!this.buffer) {
-      this.fold(offset, event);
+    if (!this.bufferedEvents) {
+      this.applyEvent(offset, event);
       return;
     }
-    this.buffer.push({offset, event});
-    if (event.kind === 'checkpoint') this.tryBase(event.state);
+    this.bufferedEvents.push({offset, event});
+    if (event.kind === 'checkpoint') this.tryResumeFrom(event.state);
   }
 
   /**
-   * Takes a peer's state when it is newer than its own. One that doesn't reach
-   * the end of a gap is in force too, but the gap stays.
+   * Adopts a peer's state if it is newer than the current one. A state that
+   * doesn't cover the end of a gap is adopted too, but the gap remains.
    *
-   * @returns whether it was taken.
+   * @returns whether the state was adopted.
    */
   restore(snapshot: unknown): boolean {
     const state = readConfigState(snapshot);
     if (!state || state.foldedThrough <= this.foldedThroughOffset) return false;
-    if (!this.buffer) return this.replaceState(state);
-    return this.tryBase(state) || this.replaceState(state);
+    if (!this.bufferedEvents) return this.replaceState(state);
+    return this.tryResumeFrom(state) || this.replaceState(state);
   }
 
-  /** The verdict on a publish record, by its offset or its nonce. */
+  /** Returns the verdict on a publish record, by its offset or its nonce. */
   verdict(offsetOrNonce: number | string): ConfigVerdict | undefined {
     if (typeof offsetOrNonce === 'number') {
-      return this.byOffset.get(offsetOrNonce);
+      return this.verdictsByOffset.get(offsetOrNonce);
     }
-    return this.byNonce.get(offsetOrNonce);
+    return this.verdictsByNonce.get(offsetOrNonce);
   }
 
   private get nextOffset(): number {
-    if (!this.buffer) return this.foldedThroughOffset + 1;
-    return this.bufferFirstOffset + this.buffer.length;
+    if (!this.bufferedEvents) return this.foldedThroughOffset + 1;
+    return this.bufferStartOffset + this.bufferedEvents.length;
   }
 
-  private tryBase(state: ConfigState): boolean {
-    const buffer = this.buffer ?? [];
-    if (state.foldedThrough + 1 < this.bufferFirstOffset) return false;
+  private tryResumeFrom(state: ConfigState): boolean {
+    const buffer = this.bufferedEvents ?? [];
+    if (state.foldedThrough + 1 < this.bufferStartOffset) return false;
     if (!this.replaceState(state)) return false;
-    this.buffer = undefined;
+    this.bufferedEvents = undefined;
     for (const {offset, event} of buffer) {
-      if (offset > this.foldedThroughOffset) this.fold(offset, event);
+      if (offset > this.foldedThroughOffset) this.applyEvent(offset, event);
     }
     return true;
   }
 
-  /** A version never goes back, whatever a peer or a record says. */
+  /** Never replaces the version by an older one, from a peer or a checkpoint. */
   private replaceState(state: ConfigState): boolean {
-    if (state.version < (this.current?.version ?? 0)) return false;
-    this.current = state;
+    if (state.version < (this.currentState?.version ?? 0)) return false;
+    this.currentState = state;
     this.foldedThroughOffset = state.foldedThrough;
     return true;
   }
 
-  private fold(offset: number, event: ConfigEvent): void {
-    if (event.kind === 'publish') this.judge(offset, event);
+  private applyEvent(offset: number, event: ConfigEvent): void {
+    if (event.kind === 'publish') this.evaluatePublish(offset, event);
     this.foldedThroughOffset = offset;
-    if (this.current) {
-      this.current = {...this.current, foldedThrough: offset};
+    if (this.currentState) {
+      this.currentState = {...this.currentState, foldedThrough: offset};
     }
   }
 
-  private judge(
+  private evaluatePublish(
     offset: number,
     event: Extract<ConfigEvent, {kind: 'publish'}>,
   ): void {
-    const currentVersion = this.current?.version ?? 0;
+    const currentVersion = this.currentState?.version ?? 0;
     const {baseVersion, body, nonce} = event;
     if (baseVersion !== currentVersion) {
-      const why = 'other-base';
-      this.remember(offset, nonce, {kind: 'void', reason: why, currentVersion});
+      const reason = 'other-base';
+      this.recordVerdict(offset, nonce, {
+        kind: 'void',
+        reason,
+        currentVersion,
+      });
       return;
     }
     if (!body) {
-      const why = 'invalid-body';
-      this.remember(offset, nonce, {kind: 'void', reason: why, currentVersion});
+      const reason = 'invalid-body';
+      this.recordVerdict(offset, nonce, {
+        kind: 'void',
+        reason,
+        currentVersion,
+      });
       return;
     }
-    this.current = {version: offset, foldedThrough: offset, body};
-    this.remember(offset, nonce, {kind: 'accepted', version: offset});
+    this.currentState = {version: offset, foldedThrough: offset, body};
+    this.recordVerdict(offset, nonce, {kind: 'accepted', version: offset});
   }
 
-  private remember(
+  private recordVerdict(
     offset: number,
     nonce: string,
     verdict: ConfigVerdict,
   ): void {
-    this.byOffset.set(offset, verdict);
-    // A record sent twice is accepted once; the second must not hide that.
-    if (this.byNonce.get(nonce)?.kind !== 'accepted') {
-      this.byNonce.set(nonce, verdict);
+    this.verdictsByOffset.set(offset, verdict);
+    // A duplicate of an accepted record is void, but must not replace its verdict.
+    if (this.verdictsByNonce.get(nonce)?.kind !== 'accepted') {
+      this.verdictsByNonce.set(nonce, verdict);
     }
-    dropOldest(this.byOffset);
-    dropOldest(this.byNonce);
+    evictOldest(this.verdictsByOffset);
+    evictOldest(this.verdictsByNonce);
   }
 }
 
-function dropOldest<K>(verdicts: Map<K, ConfigVerdict>): void {
+function evictOldest<K>(verdicts: Map<K, ConfigVerdict>): void {
   if (verdicts.size <= MAX_VERDICTS) return;
   const oldest = verdicts.keys().next();
   if (!oldest.done) verdicts.delete(oldest.value);
--- a/packages/banyanfold-config/src/groupIndex.ts
+++ b/packages/banyanfold-config/src/groupIndex.ts
@@ -2,27 +2,27 @@
 import {groupMembers, type GroupMember} from './labels.js';
 import type {Model, PublishedConfig, ResolvedTarget} from './types.js';
 
-/** A resolved target without the selector that leads to it. */
+/** A resolved target without the selector that granted access to it. */
 export type Destination = Omit<ResolvedTarget, 'selector'>;
 
-/** What one group contains, by each name under which it can be asked for. */
+/** The contents of one group, indexed by every name that requests may use. */
 export interface GroupIndex {
   byName: ReadonlyMap<string, Destination>;
   /** In listed order. */
   destinations: readonly Destination[];
-  /** Plain names of models and adapters and the group's own; no versions. */
+  /** Names of the models, the adapters and the group itself, without versions. */
   listedNames: readonly string[];
 }
 
-/** Models by `name@version`. */
+/** Indexes the models by `name@version`. */
 export function indexModels(config: PublishedConfig): Map<string, Model> {
   return new Map(config.models.map(model => [modelArtifact(model), model]));
 }
 
 /**
- * Indexes each group of a configuration by the names it can be asked by.
- * Among names that clash, a model's goes before an adapter's, that before a
- * service's, and the group's own name comes last.
+ * Indexes each group of a configuration by the names that requests may use. For
+ * conflicting names, models take precedence over adapters, adapters over services
+ * and services over the group's own name.
  *
  * @example indexGroups(config).get('claims')?.byName.get('claims@3')
  */
@@ -42,28 +42,30 @@
   models: ReadonlyMap<string, Model>,
 ): GroupIndex {
   const destinations: Destination[] = [];
-  const plain = new Map<string, Destination>();
-  const exact = new Map<string, Destination>();
+  const byPlain = new Map<string, Destination>();
+  const byExact = new Map<string, Destination>();
   const listedNames = new Set<string>();
   for (const kind of ['service', 'adapter', 'model'] as const) {
-    const ofKind = members.filter(member => member.kind === kind);
-    const added = ofKind.map(member => toNamed(member, models));
-    for (const {name, exactNames, destination} of added) {
-      plain.set(name, destination);
-      for (const exactName of exactNames) exact.set(exactName, destination);
+    const membersOfKind = members.filter(member => member.kind === kind);
+    const named = membersOfKind.map(member =>
+      toNamedDestination(member, models),
+    );
+    for (const {name, exactNames, destination} of named) {
+      byPlain.set(name, destination);
+      for (const exactName of exactNames) byExact.set(exactName, destination);
     }
-    destinations.unshift(...added.map(({destination}) => destination));
+    destinations.unshift(...named.map(({destination}) => destination));
   }
   for (const member of members) {
     if (member.kind !== 'service') {
-      listedNames.add(toNamed(member, models).name);
+      listedNames.add(toNamedDestination(member, models).name);
     }
   }
   const first = destinations[0];
   if (first && first.kind !== 'service') listedNames.add(groupName);
   const byName = new Map(first ? [[groupName, first]] : []);
-  for (const [name, destination] of plain) byName.set(name, destination);
-  for (const [name, destination] of exact) byName.set(name, destination);
+  for (const [name, destination] of byPlain) byName.set(name, destination);
+  for (const [name, destination] of byExact) byName.set(name, destination);
   return {byName, destinations, listedNames: [...listedNames]};
 }
 
@@ -73,7 +75,7 @@
   destination: Destination;
 }
 
-function toNamed(
+function toNamedDestination(
   member: GroupMember,
   models: ReadonlyMap<string, Model>,
 ): NamedDestination {
--- a/packages/banyanfold-config/src/labels.ts
+++ b/packages/banyanfold-config/src/labels.ts
@@ -8,7 +8,7 @@
   Service,
 } from './types.js';
 
-/** A model, adapter or service that a group's labels take in. */
+/** A model, adapter or service that a group's label selector matches. */
 export type GroupMember =
   | {kind: 'model'; model: Model}
   | {kind: 'adapter'; adapter: Adapter}
@@ -16,24 +16,24 @@
 
 type MatchExpression = LabelSelector['matchExpressions'][number];
 
-const OPERATORS: Record<
+const OPERATOR_MATCHERS: Record<
   MatchExpression['operator'],
   (labels: Labels, expression: MatchExpression) => boolean
 > = {
   In: (labels, {key, values}) => {
-    const value = labelOf(labels, key);
+    const value = getLabel(labels, key);
     return value !== undefined && values.includes(value);
   },
   NotIn: (labels, {key, values}) => {
-    const value = labelOf(labels, key);
+    const value = getLabel(labels, key);
     return value === undefined || !values.includes(value);
   },
-  Exists: (labels, {key}) => labelOf(labels, key) !== undefined,
-  DoesNotExist: (labels, {key}) => labelOf(labels, key) === undefined,
+  Exists: (labels, {key}) => getLabel(labels, key) !== undefined,
+  DoesNotExist: (labels, {key}) => getLabel(labels, key) === undefined,
 };
 
 /**
- * Whether labels fit a label selector. An empty selector fits everything.
+ * Whether a label selector matches the labels. An empty selector matches all.
  *
  * @example
  * matchesLabels({matchLabels: {desk: 'claims'}, matchExpressions: []},
@@ -44,20 +44,20 @@
   labels: Labels,
 ): boolean {
   for (const [key, value] of Object.entries(selector.matchLabels)) {
-    if (labelOf(labels, key) !== value) return false;
+    if (getLabel(labels, key) !== value) return false;
   }
   return selector.matchExpressions.every(expression =>
-    OPERATORS[expression.operator](labels, expression),
+    OPERATOR_MATCHERS[expression.operator](labels, expression),
   );
 }
 
-/** A key such as `constructor` must not find what objects inherit. */
-function labelOf(labels: Labels, key: string): string | undefined {
+/** Ignores inherited properties, so that a key like `constructor` is absent. */
+function getLabel(labels: Labels, key: string): string | undefined {
   return Object.hasOwn(labels, key) ? labels[key] : undefined;
 }
 
 /**
- * The members of a group in listed order: models, adapters, services.
+ * Lists the members of a group: models, then adapters, then services.
  *
  * @example groupMembers(config, config.groups[0])
  */
--- a/packages/banyanfold-config/src/parseConfig.ts
+++ b/packages/banyanfold-config/src/parseConfig.ts
@@ -11,14 +11,14 @@
   type ConfigProblem,
 } from './validateConfig.js';
 
-/** A configuration that may be published, and what to think about first. */
+/** A configuration without errors, with its warnings. */
 export interface ParsedConfig {
   config: PublishedConfig;
   warnings: FileProblem[];
 }
 
 /**
- * Reads a configuration file and checks all of it.
+ * Parses and validates a configuration file.
  *
  * @returns the configuration with its warnings, or every error with its
  *     file, line and column.
@@ -32,14 +32,14 @@
   const parsed = parseJsonWithComments(fileName, text, publishedConfigSchema);
   if (parsed.isErr()) return err(parsed.error);
   const problems = validateConfig(parsed.value, options);
-  const toFile = (problem: ConfigProblem): FileProblem => ({
+  const toFileProblem = (problem: ConfigProblem): FileProblem => ({
     where: `${fileName}:${locateField(text, problem.path)}`,
     field: renderPath(problem.path),
     message: problem.message,
   });
   const errors = problems.filter(({severity}) => severity === 'error');
-  if (errors.length > 0) return err(errors.map(toFile));
-  return ok({config: parsed.value, warnings: problems.map(toFile)});
+  if (errors.length > 0) return err(errors.map(toFileProblem));
+  return ok({config: parsed.value, warnings: problems.map(toFileProblem)});
 }
 
 function renderPath(path: ConfigProblem['path']): string {
--- a/packages/banyanfold-config/src/renderSchema.ts
+++ b/packages/banyanfold-config/src/renderSchema.ts
@@ -4,8 +4,8 @@
 const INDENT = 2;
 
 /**
- * The JSON Schema of what operators publish, as committed in `schema/`; for
- * editors and for checks before a publish. `npm run schema` writes it again.
+ * Renders the JSON Schema of the published configuration, for editors and for
+ * checks before a publish. `npm run schema` updates the copy in `schema/`.
  *
  * @example JSON.parse(renderSchema()).title
  */
--- a/packages/banyanfold-config/src/types.ts
+++ b/packages/banyanfold-config/src/types.ts
@@ -17,7 +17,7 @@
   values: z.array(z.string()).default([]),
 });
 
-/** A label selector in the form operators know. */
+/** A label selector in the format of Kubernetes. */
 export const labelSelectorSchema = z.strictObject({
   matchLabels: labelsSchema.default({}),
   matchExpressions: z.array(matchExpressionSchema).default([]),
@@ -42,19 +42,19 @@
   weightBytes: z.number().int().positive(),
 });
 
-/** A plain service beside the engines. */
+/** A service other than an inference engine. */
 export const serviceSchema = z.strictObject({
   name: nameSchema,
   labels: labelsSchema.default({}),
 });
 
-/** A named set of models, adapters and services, by their labels. */
+/** A named set of models, adapters and services, selected by label. */
 export const groupSchema = z.strictObject({
   name: nameSchema,
   labelSelector: labelSelectorSchema,
 });
 
-/** Which requests a selector speaks of; an empty list means any. */
+/** The requests that a selector matches; an empty list matches any. */
 export const requestMatchSchema = z.strictObject({
   callers: z.array(z.string()).default([]),
   desks: z.array(z.string()).default([]),
@@ -62,14 +62,14 @@
   headers: z.record(z.string().toLowerCase(), z.string()).default({}),
 });
 
-/** What a waiting person tolerates. */
+/** Latency targets, at most what a waiting user tolerates. */
 export const targetsSchema = z.strictObject({
   firstTokenMs: z.number().positive().default(310),
   betweenTokensMs: z.number().positive().default(41),
   wholeAnswerMs: z.number().positive().default(30_000),
 });
 
-/** Which requests may reach which group, and how urgently. */
+/** Grants matching requests access to a group, with a priority. */
 export const selectorSchema = z.strictObject({
   name: nameSchema,
   match: requestMatchSchema.default(() => requestMatchSchema.parse({})),
@@ -80,7 +80,7 @@
   repeatable: z.boolean().default(true),
 });
 
-/** All that operators publish. */
+/** The whole configuration that operators publish. */
 export const publishedConfigSchema = z.strictObject({
   models: z.array(modelSchema).default([]),
   adapters: z.array(adapterSchema).default([]),
@@ -99,7 +99,7 @@
 export type Targets = z.infer<typeof targetsSchema>;
 export type PublishedConfig = z.infer<typeof publishedConfigSchema>;
 
-/** What of a caller's request the selectors look at. */
+/** The attributes of a request that selectors match. */
 export interface RequestAttributes {
   caller: string;
   desk: string;
@@ -109,7 +109,7 @@
   headers: Record<string, string>;
 }
 
-/** Where a request may go. */
+/** The target that a request resolves to. */
 export interface ResolvedTarget {
   selector: Selector;
   kind: 'model' | 'adapter' | 'service';
@@ -117,7 +117,7 @@
    * `name@version`, `model@version+adapter@version`, or the service's name.
    */
   artifact: string;
-  /** `name@version` of the model itself; empty for a service. */
+  /** `name@version` of the base model; empty for a service. */
   modelArtifact: string;
   kvBytesPerToken: number;
 }
--- a/packages/banyanfold-config/src/validateConfig.ts
+++ b/packages/banyanfold-config/src/validateConfig.ts
@@ -3,19 +3,19 @@
 import {groupMembers} from './labels.js';
 import type {PublishedConfig} from './types.js';
 
-/** A warning doesn't keep a configuration from being published. */
+/** A problem in a configuration; only errors prevent a publish. */
 export interface ConfigProblem {
   severity: 'error' | 'warning';
-  /** Where in the configuration; `locateField` finds its line. */
+  /** Path of the field; `locateField` finds its line. */
   path: Array<string | number>;
   message: string;
 }
 
-/** What the deployment can hold. */
+/** Accelerator memory of the deployment. */
 export interface Capacity {
-  /** All accelerator memory. */
+  /** Memory of all backend servers together. */
   totalBytes: number;
-  /** That of the largest backend server. */
+  /** Memory of the largest backend server. */
   largestServerBytes: number;
 }
 
@@ -26,7 +26,7 @@
 
 const CHECKS: readonly Check[] = [
   checkDuplicates,
-  checkClashes,
+  checkNameConflicts,
   checkAdapters,
   checkSelectors,
   checkGroups,
@@ -34,8 +34,8 @@
 ];
 
 /**
- * Checks what a schema can't: references, duplicates, empty groups and, when
- * the capacity is given, whether the models fit.
+ * Checks what a schema can't express: references, duplicates, empty groups and,
+ * if the capacity is given, whether the models fit.
  *
  * @example validateConfig(config).filter(p => p.severity === 'error')
  */
@@ -46,7 +46,7 @@
   return CHECKS.flatMap(check => check(config, options.capacity));
 }
 
-function problem(
+function createProblem(
   severity: ConfigProblem['severity'],
   path: ConfigProblem['path'],
   message: string,
@@ -54,7 +54,7 @@
   return {severity, path, message};
 }
 
-function duplicatesIn(
+function findDuplicates(
   list: string,
   keys: string[],
   field: string,
@@ -66,38 +66,38 @@
       return [];
     }
     const message = `"${key}" is listed twice; remove one`;
-    return [problem('error', [list, index, field], message)];
+    return [createProblem('error', [list, index, field], message)];
   });
 }
 
 function checkDuplicates(config: PublishedConfig): ConfigProblem[] {
   const names = (items: Array<{name: string}>) => items.map(({name}) => name);
   return [
-    ...duplicatesIn('models', config.models.map(modelArtifact), 'version'),
-    ...duplicatesIn(
+    ...findDuplicates('models', config.models.map(modelArtifact), 'version'),
+    ...findDuplicates(
       'adapters',
       config.adapters.map(adapterArtifact),
       'version',
     ),
-    ...duplicatesIn('services', names(config.services), 'name'),
-    ...duplicatesIn('groups', names(config.groups), 'name'),
-    ...duplicatesIn('selectors', names(config.selectors), 'name'),
+    ...findDuplicates('services', names(config.services), 'name'),
+    ...findDuplicates('groups', names(config.groups), 'name'),
+    ...findDuplicates('selectors', names(config.selectors), 'name'),
   ];
 }
 
-/** A request names only a name, so that one name means one kind of thing. */
-function checkClashes(config: PublishedConfig): ConfigProblem[] {
-  const kinds = new Map<string, string>();
+/** Requests carry no kind, so a name must be unique across the lists. */
+function checkNameConflicts(config: PublishedConfig): ConfigProblem[] {
+  const listByName = new Map<string, string>();
   const problems: ConfigProblem[] = [];
   for (const list of ['models', 'adapters', 'services'] as const) {
     config[list].forEach(({name}, index) => {
-      const other = kinds.get(name);
-      if (other === undefined || other === list) {
-        kinds.set(name, list);
+      const otherList = listByName.get(name);
+      if (otherList === undefined || otherList === list) {
+        listByName.set(name, list);
         return;
       }
-      const message = `"${name}" is used in ${other} as well; rename one`;
-      problems.push(problem('error', [list, index, 'name'], message));
+      const message = `"${name}" is used in ${otherList} as well; rename one`;
+      problems.push(createProblem('error', [list, index, 'name'], message));
     });
   }
   return problems;
@@ -114,7 +114,7 @@
     const isKnownName = config.models.some(({name}) => name === adapter.model);
     const field = isKnownName ? 'modelVersion' : 'model';
     const message = `no model "${base}" is listed`;
-    return [problem('error', ['adapters', index, field], message)];
+    return [createProblem('error', ['adapters', index, field], message)];
   });
 }
 
@@ -123,7 +123,7 @@
   return config.selectors.flatMap((selector, index) => {
     if (groups.has(selector.group)) return [];
     const message = `no group "${selector.group}" is listed`;
-    return [problem('error', ['selectors', index, 'group'], message)];
+    return [createProblem('error', ['selectors', index, 'group'], message)];
   });
 }
 
@@ -131,7 +131,9 @@
   return config.groups.flatMap((group, index) => {
     if (groupMembers(config, group).length > 0) return [];
     const message = `no model, adapter or service fits group "${group.name}"`;
-    return [problem('warning', ['groups', index, 'labelSelector'], message)];
+    return [
+      createProblem('warning', ['groups', index, 'labelSelector'], message),
+    ];
   });
 }
 
@@ -141,15 +143,18 @@
 ): ConfigProblem[] {
   if (!capacity) return [];
   const {totalBytes, largestServerBytes} = capacity;
-  const tooLarge = config.models.flatMap((model, index) => {
+  const tooLargeWarnings = config.models.flatMap((model, index) => {
     if (model.weightBytes <= largestServerBytes) return [];
     const path = ['models', index, 'weightBytes'];
     const message = `larger than the largest backend server (${largestServerBytes} bytes)`;
-    return [problem('warning', path, message)];
+    return [createProblem('warning', path, message)];
   });
-  const labelled = compileConfig(config).artifacts();
-  const neededBytes = labelled.reduce((sum, {bytes}) => sum + bytes, 0);
-  if (neededBytes <= totalBytes) return tooLarge;
+  const routableArtifacts = compileConfig(config).artifacts();
+  const neededBytes = routableArtifacts.reduce(
+    (sum, {bytes}) => sum + bytes,
+    0,
+  );
+  if (neededBytes <= totalBytes) return tooLargeWarnings;
   const message = `one copy of each needs ${neededBytes} bytes; there are ${totalBytes}`;
-  return [...tooLarge, problem('warning', ['models'], message)];
+  return [...tooLargeWarnings, createProblem('warning', ['models'], message)];
 }
