--- a/packages/banyanfold-core/src/__tests__/lineWriter.test.ts
+++ b/packages/banyanfold-core/src/__tests__/lineWriter.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {VirtualClock} from '../clock.js';
-import {DEFAULT_END_WAIT_MS, LineWriter} from '../lineWriter.js';
+import {DEFAULT_END_TIMEOUT_MS, LineWriter} from '../lineWriter.js';
 
 describe('LineWriter', () => {
   it('writes gathered lines together, and none twice', async () => {
@@ -40,7 +40,7 @@
     const writer = new LineWriter({
       clock: new VirtualClock(),
       maxChars: 4,
-      maxWaitingChars: 20,
+      maxPendingChars: 20,
       write: (text, done) => {
         written.push(text);
         finish = done;
@@ -97,7 +97,7 @@
     writer.add('event=stopped');
     let isEnded = false;
     void writer.end().then(() => (isEnded = true));
-    await clock.advance(DEFAULT_END_WAIT_MS - 1);
+    await clock.advance(DEFAULT_END_TIMEOUT_MS - 1);
     expect(isEnded).toBe(false);
     await clock.advance(1);
     expect(isEnded).toBe(true);
--- a/packages/banyanfold-core/src/errors.ts
+++ b/packages/banyanfold-core/src/errors.ts
@@ -1,5 +1,5 @@
 /** Where an error arose: the step of the work and the peer it spoke to. */
-export interface ErrorPlace {
+export interface ErrorContext {
   /** For example `append-claim`. */
   step: string;
   /** For example `log 127.0.0.1:8300`, or `self`. */
@@ -15,7 +15,7 @@
   constructor(
     code: string,
     message: string,
-    place: ErrorPlace,
+    place: ErrorContext,
     options: {cause?: unknown} = {},
   ) {
     super(message, options);
@@ -34,7 +34,7 @@
 export function toBanyanfoldError(
   thrown: unknown,
   code: string,
-  place: ErrorPlace,
+  place: ErrorContext,
 ): BanyanfoldError {
   if (thrown instanceof BanyanfoldError) return thrown;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
--- a/packages/banyanfold-core/src/lineWriter.ts
+++ b/packages/banyanfold-core/src/lineWriter.ts
@@ -9,9 +9,9 @@
   /** Gathered text longer than this is written at once. */
   maxChars?: number;
   /** Text that waits for a slow reader; lines beyond it are dropped. */
-  maxWaitingChars?: number;
+  maxPendingChars?: number;
   /** How long the end of a process waits for the reader. */
-  endWaitMs?: number;
+  endTimeoutMs?: number;
   /** Writes without blocking and calls `done` when it is over. */
   write?: (text: string, done: () => void) => void;
 }
@@ -20,14 +20,14 @@
  * Reasoned, not measured: many turns of a reader that is only slow, and a small
  * part of the seconds that a supervisor gives a process to stop.
  */
-export const DEFAULT_END_WAIT_MS = 500;
+export const DEFAULT_END_TIMEOUT_MS = 500;
 
 const DEFAULT_OPTIONS = {
-  endWaitMs: DEFAULT_END_WAIT_MS,
+  endTimeoutMs: DEFAULT_END_TIMEOUT_MS,
   maxWaitMs: 10,
   maxChars: 32_768,
   // Some seconds of lines of a busy process, a few MB of its memory.
-  maxWaitingChars: 2_000_000,
+  maxPendingChars: 2_000_000,
 } as const;
 
 const STDOUT_FD = 1;
@@ -63,7 +63,7 @@
   }
 
   add(line: string): void {
-    if (this.text.length + line.length > this.options.maxWaitingChars) {
+    if (this.text.length + line.length > this.options.maxPendingChars) {
       this.dropped += 1;
       return;
     }
@@ -96,8 +96,8 @@
    * among them the one that says that it stopped.
    */
   async end(): Promise<void> {
-    const {clock, endWaitMs} = this.options;
-    await Promise.race([this.whenEmpty(), sleep(clock, endWaitMs)]);
+    const {clock, endTimeoutMs} = this.options;
+    await Promise.race([this.whenEmpty(), sleep(clock, endTimeoutMs)]);
   }
 
   /**
--- a/packages/banyanfold-core/src/startTimer.ts
+++ b/packages/banyanfold-core/src/startTimer.ts
@@ -9,7 +9,7 @@
 /** How a timer is started. */
 export interface StartTimerOptions {
   /** Whether the process goes on running for it. */
-  keepsAlive?: boolean;
+  keepsProcessAlive?: boolean;
 }
 
 /**
@@ -23,7 +23,7 @@
 export function startTimer(
   delayMs: number,
   callback: () => void,
-  {keepsAlive = true}: StartTimerOptions = {},
+  {keepsProcessAlive = true}: StartTimerOptions = {},
 ): Timer {
   const dueMs = performance.now() + delayMs;
   let immediate: NodeJS.Immediate | undefined;
@@ -32,7 +32,7 @@
     if (isLate) immediate = setImmediate(callback);
     else callback();
   }, delayMs);
-  if (!keepsAlive) timeout.unref();
+  if (!keepsProcessAlive) timeout.unref();
   return {
     cancel() {
       clearTimeout(timeout);
--- a/packages/banyanfold-core/src/timeoutSignal.ts
+++ b/packages/banyanfold-core/src/timeoutSignal.ts
@@ -13,7 +13,7 @@
   startTimer(
     timeoutMs,
     () => controller.abort(new DOMException(message, 'TimeoutError')),
-    {keepsAlive: false},
+    {keepsProcessAlive: false},
   );
   return controller.signal;
 }
--- a/packages/banyanfold-log/src/httpJson.ts
+++ b/packages/banyanfold-log/src/httpJson.ts
@@ -2,7 +2,7 @@
   BanyanfoldError,
   toBanyanfoldError,
   type Clock,
-  type ErrorPlace,
+  type ErrorContext,
 } from '@banyanfold/core';
 import {ResultAsync} from 'neverthrow';
 import {request, type Dispatcher} from 'undici';
@@ -14,7 +14,7 @@
   url: string;
   body?: unknown;
   schema: S;
-  place: ErrorPlace;
+  place: ErrorContext;
   clock: Clock;
   timeoutMs: number;
   /** Gives up the call, beside the timeout. */
