--- a/packages/banyanfold-core/src/__tests__/clock.test.ts
+++ b/packages/banyanfold-core/src/__tests__/clock.test.ts
@@ -5,7 +5,7 @@
 import {timeoutSignal} from '../timeoutSignal.js';
 
 const TIMEOUT_MS = 20;
-/** The timer is due this long before the event loop goes on. */
+/** Duration of the stall; the timer is due before it ends. */
 const STALL_MS = 200;
 
 let sender: Socket;
@@ -27,17 +27,17 @@
   receiver.destroy();
 });
 
-/** Nothing of this process runs, while bytes wait at its socket. */
-function stallWithBytesWaiting(): void {
+/** Blocks the event loop while received bytes wait in the socket. */
+function stallWithUnreadData(): void {
   sender.write('answer');
   const endMs = performance.now() + STALL_MS;
   while (performance.now() < endMs);
 }
 
-// Guards against calls that are given up although their answer came in time,
-// because this process stood still and its timers run before its sockets are read.
+// Guards against calls that time out although their response arrived in time. After
+// a stall, Node runs its timers before it reads its sockets.
 describe('after a stall of the process', () => {
-  it('a timer of the system clock runs after what has come is read', async () => {
+  it('a timer of the system clock runs after the received data is read', async () => {
     const order: string[] = [];
     receiver.on('data', () => order.push('data'));
     const timer = new Promise<void>(resolve => {
@@ -46,17 +46,17 @@
         resolve();
       });
     });
-    stallWithBytesWaiting();
+    stallWithUnreadData();
     await timer;
     expect(order).toEqual(['data', 'timer']);
   });
 
-  it('a time limit passes after what has come is read', async () => {
+  it('a timeout signal aborts after the received data is read', async () => {
     const order: string[] = [];
     receiver.on('data', () => order.push('data'));
     const signal = timeoutSignal(TIMEOUT_MS);
     const aborted = once(signal, 'abort');
-    stallWithBytesWaiting();
+    stallWithUnreadData();
     await aborted;
     expect(order).toEqual(['data']);
     expect(signal.reason).toMatchObject({name: 'TimeoutError'});
@@ -64,12 +64,12 @@
 });
 
 describe('systemClock.setTimer', () => {
-  it('runs nothing once it is cancelled, also after a stall', async () => {
-    let ran = false;
-    const timer = systemClock.setTimer(TIMEOUT_MS, () => (ran = true));
+  it('runs no cancelled callback, even after a stall', async () => {
+    let isCalled = false;
+    const timer = systemClock.setTimer(TIMEOUT_MS, () => (isCalled = true));
     receiver.on('data', () => timer.cancel());
-    stallWithBytesWaiting();
+    stallWithUnreadData();
     await new Promise(resolve => setTimeout(resolve, TIMEOUT_MS));
-    expect(ran).toBe(false);
+    expect(isCalled).toBe(false);
   });
 });
--- a/packages/banyanfold-core/src/__tests__/jsonWithComments.test.ts
+++ b/packages/banyanfold-core/src/__tests__/jsonWithComments.test.ts
@@ -16,12 +16,12 @@
 ];
 
 describe('parseJsonWithComments', () => {
-  it.each(CASES)('says where $name is', ({text}) => {
+  it.each(CASES)('locates $name', ({text}) => {
     const result = parseJsonWithComments('entry.jsonc', text, schema);
     expect(renderProblems(result._unsafeUnwrapErr())).toMatchSnapshot();
   });
 
-  it('takes comments and trailing commas', () => {
+  it('accepts comments and trailing commas', () => {
     const text = '{\n  // the port\n  "port": 8400,\n}';
     const result = parseJsonWithComments('entry.jsonc', text, schema);
     expect(result._unsafeUnwrap()).toEqual({port: 8400, callers: []});
--- a/packages/banyanfold-core/src/__tests__/kernel.test.ts
+++ b/packages/banyanfold-core/src/__tests__/kernel.test.ts
@@ -5,9 +5,9 @@
 import {Metrics} from '../metrics.js';
 
 describe('Kernel', () => {
-  it('starts in order, stops in reverse, and only what was started', async () => {
-    // One plug-in fails to start: the caller sees the failure, and those
-    // started before it are stopped, so that no port or timer is left behind.
+  it('starts in order and stops the started plug-ins in reverse', async () => {
+    // Guards against leaked ports and timers. When a plug-in fails to start, the
+    // caller receives the error and stops the plug-ins started before it.
     const calls: string[] = [];
     const plugin = (name: string, isFailing = false) => ({
       name,
@@ -34,7 +34,7 @@
     metrics: new Metrics(),
   };
 
-  it('names what there is when a name is unknown', () => {
+  it('lists the registered names when a name is unknown', () => {
     const registry = new PluginRegistry();
     registry.register('planner', () => ({name: 'planner'}));
     expect(() => registry.create('plannr', context, {})).toThrow(
@@ -42,7 +42,7 @@
     );
   });
 
-  it('refuses a name twice', () => {
+  it('rejects a duplicate name', () => {
     const registry = new PluginRegistry();
     registry.register('planner', () => ({name: 'planner'}));
     expect(() => registry.register('planner', () => ({name: 'other'}))).toThrow(
--- a/packages/banyanfold-core/src/__tests__/lineWriter.test.ts
+++ b/packages/banyanfold-core/src/__tests__/lineWriter.test.ts
@@ -3,7 +3,7 @@
 import {DEFAULT_END_TIMEOUT_MS, LineWriter} from '../lineWriter.js';
 
 describe('LineWriter', () => {
-  it('writes gathered lines together, and none twice', async () => {
+  it('writes buffered lines in one batch, and none twice', async () => {
     const clock = new VirtualClock();
     const written: string[] = [];
     const writer = new LineWriter({
@@ -21,7 +21,7 @@
     expect(written).toEqual(['event=a\nevent=b\n']);
   });
 
-  it('writes at once what grows long', () => {
+  it('writes long text at once', () => {
     const written: string[] = [];
     const writer = new LineWriter({
       clock: new VirtualClock(),
@@ -32,9 +32,9 @@
     expect(written).toEqual(['event=a\n']);
   });
 
-  it('goes on when nobody reads, and tells how many lines were lost', () => {
-    // The process serves on and its memory stays bounded. The reader stops, so
-    // that a write isn't over; lines are gathered, then dropped and counted.
+  it('drops lines beyond the limit and reports their number', () => {
+    // Guards against unbounded memory when the reader stops and a write doesn't
+    // complete: lines are buffered up to the limit, then dropped and counted.
     const written: string[] = [];
     let finish = () => {};
     const writer = new LineWriter({
@@ -54,12 +54,12 @@
     );
   });
 
-  it('writes what came during a slow write without waiting for more', async () => {
-    // A quiet process shows its newest lines late or never. A write takes longer
-    // than lines are gathered; their turn comes while it is under way, and no
-    // further line comes to give them another.
+  it('writes lines added during a slow write without waiting for more', async () => {
+    // Guards against an idle process that writes its newest lines late or never. A
+    // write takes longer than lines are buffered, so their timer expires during
+    // the write, and no further line starts another timer.
     const clock = new VirtualClock();
-    const {written, finish, write} = slowWrites();
+    const {written, finish, write} = createSlowWriter();
     const writer = new LineWriter({clock, write});
     writer.add('event=first');
     await clock.advance(10);
@@ -70,12 +70,12 @@
     expect(written).toEqual(['event=first\n', 'event=second\n']);
   });
 
-  it('writes the rest before a process ends', async () => {
-    // The log of a process that stopped lacks its last line. An earlier line is
-    // still being written when it is logged, and the process ends before that
-    // write is over.
+  it('writes the buffered lines before a process exits', async () => {
+    // Guards against the loss of the last line of a stopped process. An earlier
+    // line is still being written when the last one is logged, and the process
+    // exits before that write completes.
     const clock = new VirtualClock();
-    const {written, finish, write} = slowWrites();
+    const {written, finish, write} = createSlowWriter();
     const writer = new LineWriter({clock, write});
     writer.add('event=drain-finished');
     await clock.advance(10);
@@ -88,11 +88,11 @@
     expect(written).toEqual(['event=drain-finished\n', 'event=stopped\n']);
   });
 
-  it('ends without its reader', async () => {
-    // A process can't stop. Nobody reads its log, the pipe is full, and the
-    // write under way is never over.
+  it('ends after the timeout if nobody reads', async () => {
+    // Guards against a process that can't stop. Nobody reads its log, the pipe is
+    // full, and the pending write never completes.
     const clock = new VirtualClock();
-    const {write} = slowWrites();
+    const {write} = createSlowWriter();
     const writer = new LineWriter({clock, write});
     writer.add('event=stopped');
     let isEnded = false;
@@ -104,8 +104,8 @@
   });
 });
 
-/** A reader that takes each write when it is told to. */
-function slowWrites() {
+/** Returns a `write` whose calls complete only through `finish`. */
+function createSlowWriter() {
   const written: string[] = [];
   const state = {
     written,
--- a/packages/banyanfold-core/src/__tests__/traceRequest.test.ts
+++ b/packages/banyanfold-core/src/__tests__/traceRequest.test.ts
@@ -7,11 +7,11 @@
 const SECOND = `time=2026-01-01T00:00:01.000Z level=info event=retry node=e2 role=entry request=r1 after=broken`;
 
 describe('traceRequest', () => {
-  it('tells the story of one request over several processes', () => {
+  it('merges the lines about one request from several processes', () => {
     expect(traceRequest([FIRST, SECOND], 'r1')).toMatchSnapshot();
   });
 
-  it('is empty for a request that no log names', () => {
+  it('returns no lines for a request that no log contains', () => {
     expect(traceRequest([FIRST], 'r')).toEqual([]);
   });
 });
--- a/packages/banyanfold-core/src/clock.ts
+++ b/packages/banyanfold-core/src/clock.ts
@@ -1,18 +1,18 @@
 import {startTimer, type Timer} from './startTimer.js';
 
 /**
- * The only source of time, so that tests run on a virtual one.
- * All values are milliseconds.
+ * The only source of time in the program, so that tests can replace it by a
+ * virtual clock. All values are in milliseconds.
  */
 export interface Clock {
-  /** Monotonic; never jumps with the wall clock. */
+  /** Monotonic time, unaffected by changes of the wall clock. */
   nowMs(): number;
   /** Wall-clock time since the epoch. */
   wallMs(): number;
   setTimer(delayMs: number, callback: () => void): Timer;
 }
 
-/** The machine's clock. */
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
   wallMs: () => Date.now(),
@@ -25,7 +25,7 @@
   callback: () => void;
 }
 
-/** A clock that moves only when told to. */
+/** A clock for tests that advances only through `advance`. */
 export class VirtualClock implements Clock {
   private currentMs = 0;
   private sequence = 0;
@@ -51,7 +51,7 @@
     return {cancel: () => this.pending.delete(timer)};
   }
 
-  /** Moves on by `deltaMs`, running due timers in order. */
+  /** Advances the time by `deltaMs` and runs the due timers in order. */
   async advance(deltaMs: number): Promise<void> {
     const endMs = this.currentMs + deltaMs;
     for (;;) {
@@ -67,12 +67,12 @@
   }
 
   private nextDue(endMs: number): PendingTimer | undefined {
-    let best: PendingTimer | undefined;
+    let earliest: PendingTimer | undefined;
     for (const timer of this.pending) {
       if (timer.dueMs > endMs) continue;
-      if (!best || isBefore(timer, best)) best = timer;
+      if (!earliest || isBefore(timer, earliest)) earliest = timer;
     }
-    return best;
+    return earliest;
   }
 }
 
@@ -81,7 +81,7 @@
   return a.sequence < b.sequence;
 }
 
-/** Lets promise chains started by a timer run before the next timer. */
+/** Runs the promise callbacks of a timer before the next timer. */
 function flushMicrotasks(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/banyanfold-core/src/enableRoarr.ts
+++ b/packages/banyanfold-core/src/enableRoarr.ts
@@ -1,5 +1,5 @@
 /**
- * roarr decides at import whether it logs at all, so this module is imported
- * before it. Without it the daemons run and print nothing.
+ * roarr reads ROARR_LOG when it is imported, so this module must be imported
+ * before it. Otherwise the daemons log nothing.
  */
 process.env['ROARR_LOG'] = 'true';
--- a/packages/banyanfold-core/src/errors.ts
+++ b/packages/banyanfold-core/src/errors.ts
@@ -1,4 +1,4 @@
-/** Where an error arose: the step of the work and the peer it spoke to. */
+/** The context of an error: the failed step and the peer involved. */
 export interface ErrorContext {
   /** For example `append-claim`. */
   step: string;
@@ -6,7 +6,7 @@
   peer: string;
 }
 
-/** An error that says at which step, and with which peer, it arose. */
+/** An error with a code, the failed step and the peer involved. */
 export class BanyanfoldError extends Error {
   readonly code: string;
   readonly step: string;
@@ -15,28 +15,29 @@
   constructor(
     code: string,
     message: string,
-    place: ErrorContext,
+    context: ErrorContext,
     options: {cause?: unknown} = {},
   ) {
     super(message, options);
     this.name = 'BanyanfoldError';
     this.code = code;
-    this.step = place.step;
-    this.peer = place.peer;
+    this.step = context.step;
+    this.peer = context.peer;
   }
 }
 
 /**
- * Turns whatever was thrown into an error with its place.
+ * Converts a thrown value to a BanyanfoldError. One that is a BanyanfoldError
+ * already is returned unchanged.
  *
  * @example toBanyanfoldError(e, 'unreachable', {step: 'report', peer: 'a1'})
  */
 export function toBanyanfoldError(
   thrown: unknown,
   code: string,
-  place: ErrorContext,
+  context: ErrorContext,
 ): BanyanfoldError {
   if (thrown instanceof BanyanfoldError) return thrown;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
-  return new BanyanfoldError(code, message, place, {cause: thrown});
+  return new BanyanfoldError(code, message, context, {cause: thrown});
 }
--- a/packages/banyanfold-core/src/exitProcess.ts
+++ b/packages/banyanfold-core/src/exitProcess.ts
@@ -1,6 +1,6 @@
 import {endLogOutput} from './logger.js';
 
-/** Ends the process with this code once its log is written. */
+/** Exits the process with this code after writing the pending log lines. */
 export async function exitProcess(code: number): Promise<never> {
   await endLogOutput();
   process.exit(code);
--- a/packages/banyanfold-core/src/jsonWithComments.ts
+++ b/packages/banyanfold-core/src/jsonWithComments.ts
@@ -9,7 +9,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {z} from 'zod';
 
-/** One thing wrong in a file: what, where and what to do. */
+/** A problem in a file: its position, the field and how to fix it. */
 export interface FileProblem {
   /** `file:line:column`, counted from 1. */
   where: string;
@@ -20,7 +20,7 @@
 
 type IssuePath = ReadonlyArray<PropertyKey>;
 
-/** What to do about the syntax errors that people make most. */
+/** Messages for the most common syntax errors. */
 const SYNTAX_MESSAGES: Record<string, string> = {
   CommaExpected: 'a comma is missing before this',
   ColonExpected: 'a colon is missing before this',
@@ -33,7 +33,7 @@
 };
 
 /**
- * Reads JSON with comments and checks it against a schema.
+ * Parses JSON with comments and validates it against a schema.
  *
  * @returns the value, or every problem with its file, line and column.
  * @example parseJsonWithComments('a.jsonc', text, entrySettingsSchema)
@@ -46,32 +46,32 @@
   const syntaxErrors: ParseError[] = [];
   const root = parseTree(text, syntaxErrors, {allowTrailingComma: true});
   if (syntaxErrors.length > 0 || !root) {
-    return err(syntaxProblems(fileName, text, syntaxErrors));
+    return err(toSyntaxProblems(fileName, text, syntaxErrors));
   }
-  const checked = schema.safeParse(getNodeValue(root));
-  if (checked.success) return ok(checked.data);
+  const validated = schema.safeParse(getNodeValue(root));
+  if (validated.success) return ok(validated.data);
   return err(
-    checked.error.issues.flatMap(issue =>
-      issuePaths(issue).map(path => ({
-        where: `${fileName}:${positionOf(text, offsetOf(root, path))}`,
+    validated.error.issues.flatMap(issue =>
+      getIssuePaths(issue).map(path => ({
+        where: `${fileName}:${toLineAndColumn(text, findOffset(root, path))}`,
         field: renderPath(path),
-        message: issueMessage(issue),
+        message: toIssueMessage(issue),
       })),
     ),
   );
 }
 
 /**
- * Where a field stands in a text, as `line:column`.
+ * Returns the position of a field in a text as `line:column`.
  *
  * @example locateField(text, ['selectors', 0, 'group']) // '12:5'
  */
 export function locateField(text: string, path: IssuePath): string {
   const root = parseTree(text, [], {allowTrailingComma: true});
-  return positionOf(text, root ? offsetOf(root, path) : 0);
+  return toLineAndColumn(text, root ? findOffset(root, path) : 0);
 }
 
-/** Renders problems for a person, one a line. */
+/** Renders problems as text, one per line. */
 export function renderProblems(problems: FileProblem[]): string {
   return problems
     .map(({where, field, message}) =>
@@ -80,28 +80,28 @@
     .join('\n');
 }
 
-/** An unknown field is shown where it stands, not at the object around it. */
-function issuePaths(issue: z.core.$ZodIssue): IssuePath[] {
+/** Locates an unknown field itself instead of the object that contains it. */
+function getIssuePaths(issue: z.core.$ZodIssue): IssuePath[] {
   if (issue.code !== 'unrecognized_keys') return [issue.path];
   return issue.keys.map(key => [...issue.path, key]);
 }
 
-const ABSENT = ', received undefined';
-const INVALID_INPUT = 'Invalid input: ';
+const MISSING_SUFFIX = ', received undefined';
+const INVALID_INPUT_PREFIX = 'Invalid input: ';
 
-function issueMessage(issue: z.core.$ZodIssue): string {
+function toIssueMessage(issue: z.core.$ZodIssue): string {
   if (issue.code === 'unrecognized_keys') {
     return 'no such field; check the spelling or remove it';
   }
   const {message} = issue;
-  const text = message.startsWith(INVALID_INPUT)
-    ? message.slice(INVALID_INPUT.length)
+  const text = message.startsWith(INVALID_INPUT_PREFIX)
+    ? message.slice(INVALID_INPUT_PREFIX.length)
     : message;
-  if (!text.endsWith(ABSENT)) return text;
-  return `is missing; ${text.slice(0, -ABSENT.length)}`;
+  if (!text.endsWith(MISSING_SUFFIX)) return text;
+  return `is missing; ${text.slice(0, -MISSING_SUFFIX.length)}`;
 }
 
-function syntaxProblems(
+function toSyntaxProblems(
   fileName: string,
   text: string,
   errors: ParseError[],
@@ -112,17 +112,17 @@
     ];
   }
   return errors.map(error => ({
-    where: `${fileName}:${positionOf(text, error.offset)}`,
+    where: `${fileName}:${toLineAndColumn(text, error.offset)}`,
     field: '',
-    message: syntaxMessage(printParseErrorCode(error.error)),
+    message: toSyntaxMessage(printParseErrorCode(error.error)),
   }));
 }
 
-function syntaxMessage(code: string): string {
+function toSyntaxMessage(code: string): string {
   return SYNTAX_MESSAGES[code] ?? code;
 }
 
-function offsetOf(root: Node, path: IssuePath): number {
+function findOffset(root: Node, path: IssuePath): number {
   for (let length = path.length; length > 0; length--) {
     const segments = path.slice(0, length).map(toSegment);
     const node = findNodeAtLocation(root, segments);
@@ -144,7 +144,7 @@
   return text;
 }
 
-function positionOf(text: string, offset: number): string {
+function toLineAndColumn(text: string, offset: number): string {
   const before = text.slice(0, offset).split('\n');
   const column = (before[before.length - 1] ?? '').length + 1;
   return `${before.length}:${column}`;
--- a/packages/banyanfold-core/src/kernel.ts
+++ b/packages/banyanfold-core/src/kernel.ts
@@ -3,19 +3,19 @@
 import type {Logger} from './logger.js';
 import type {Metrics} from './metrics.js';
 
-/** What every plug-in is given. */
+/** The services that every plug-in receives. */
 export interface PluginContext {
   clock: Clock;
   logger: Logger;
   metrics: Metrics;
 }
 
-/** What a plug-in gives back: its name and the hooks it wants called. */
+/** A plug-in with its name and its optional lifecycle hooks. */
 export interface Plugin {
   name: string;
-  /** Called in the order of the settings; a failure stops the start. */
+  /** Called in the order of the settings; a failure aborts the startup. */
   start?(): Promise<void>;
-  /** Called in the reverse order when the process leaves. */
+  /** Called in reverse order when the process shuts down. */
   stop?(): Promise<void>;
 }
 
@@ -24,14 +24,14 @@
   P extends Plugin = Plugin,
 > = (context: C, options: unknown) => P;
 
-/** Plug-ins by name; each registers itself when its module is loaded. */
+/** Plug-in factories by name; each module registers its own when loaded. */
 export class PluginRegistry<
   C extends PluginContext = PluginContext,
   P extends Plugin = Plugin,
 > {
   private readonly factories = new Map<string, PluginFactory<C, P>>();
 
-  /** @throws BanyanfoldError `duplicate-plugin` when the name is taken. */
+  /** @throws BanyanfoldError `duplicate-plugin` if the name is already registered. */
   register(name: string, factory: PluginFactory<C, P>): void {
     if (this.factories.has(name)) {
       throw new BanyanfoldError(
@@ -43,14 +43,14 @@
     this.factories.set(name, factory);
   }
 
-  /** @throws BanyanfoldError `unknown-plugin`, naming those there are. */
+  /** @throws BanyanfoldError `unknown-plugin`, with the registered names. */
   create(name: string, context: C, options: unknown): P {
     const factory = this.factories.get(name);
     if (!factory) {
-      const known = [...this.factories.keys()].sort().join(', ');
+      const registeredNames = [...this.factories.keys()].sort().join(', ');
       throw new BanyanfoldError(
         'unknown-plugin',
-        `no plug-in is named "${name}"; there are: ${known}`,
+        `no plug-in is named "${name}"; there are: ${registeredNames}`,
         {step: 'create-plugin', peer: 'self'},
       );
     }
--- a/packages/banyanfold-core/src/lineWriter.ts
+++ b/packages/banyanfold-core/src/lineWriter.ts
@@ -1,24 +1,24 @@
 import {write, writeSync} from 'node:fs';
 import {sleep, systemClock, type Clock} from './clock.js';
 
-/** How lines are gathered before they are written. */
+/** Options for buffering and writing lines. */
 export interface LineWriterOptions {
   clock?: Clock;
-  /** A line waits no longer than this. */
+  /** Maximum time for which a line is buffered. */
   maxWaitMs?: number;
-  /** Gathered text longer than this is written at once. */
+  /** Buffered text of this length is written at once. */
   maxChars?: number;
-  /** Text that waits for a slow reader; lines beyond it are dropped. */
+  /** Maximum text buffered for a slow reader; further lines are dropped. */
   maxPendingChars?: number;
-  /** How long the end of a process waits for the reader. */
+  /** Maximum time for which `end` waits for the reader. */
   endTimeoutMs?: number;
-  /** Writes without blocking and calls `done` when it is over. */
+  /** Writes without blocking and calls `done` on completion. */
   write?: (text: string, done: () => void) => void;
 }
 
 /**
- * Reasoned, not measured: many turns of a reader that is only slow, and a small
- * part of the seconds that a supervisor gives a process to stop.
+ * Long enough for a slow reader to read several times, and a small part of the
+ * seconds that a supervisor allows for a shutdown.
  */
 export const DEFAULT_END_TIMEOUT_MS = 500;
 
@@ -26,31 +26,31 @@
   endTimeoutMs: DEFAULT_END_TIMEOUT_MS,
   maxWaitMs: 10,
   maxChars: 32_768,
-  // Some seconds of lines of a busy process, a few MB of its memory.
+  // Holds several seconds of log lines of a busy process in a few MB.
   maxPendingChars: 2_000_000,
 } as const;
 
 const STDOUT_FD = 1;
-const PIPE_IS_FULL = 'EAGAIN';
-/** As long as lines are gathered, so that a full pipe costs no more wake-ups. */
-const FULL_PIPE_PAUSE_MS = 10;
+const PIPE_FULL_CODE = 'EAGAIN';
+/** Equals the buffering time, so that a full pipe causes no more wake-ups. */
+const FULL_PIPE_RETRY_MS = 10;
 
 /**
- * Gathers log lines and writes them together; writing each by itself took a
- * tenth of an agent's time under load.
+ * Buffers log lines and writes them in batches. Single writes took a tenth of an
+ * agent's time under load.
  *
- * A reader that is slow or gone fills the pipe, and a write to a full pipe
- * blocks: all requests of the process would stand still with it. Writes happen
- * away from the loop, one at a time; while one waits, lines are gathered up to
- * a bound, and beyond it dropped and counted. The count is the first line that
- * goes out when the reader is back.
+ * If the reader is slow or gone, the pipe fills up, and a blocking write to it
+ * would stall all requests of the process. Writes are therefore asynchronous, one
+ * at a time. While one is pending, lines are buffered up to a limit; further lines
+ * are dropped and counted. The next write starts with a line that reports the
+ * number of dropped lines.
  */
 export class LineWriter {
   private text = '';
-  private isScheduled = false;
+  private isFlushScheduled = false;
   private isWriting = false;
-  private dropped = 0;
-  private endWaiters: Array<() => void> = [];
+  private droppedLines = 0;
+  private emptyCallbacks: Array<() => void> = [];
   private readonly options: Required<LineWriterOptions>;
 
   constructor(options: LineWriterOptions = {}) {
@@ -64,7 +64,7 @@
 
   add(line: string): void {
     if (this.text.length + line.length > this.options.maxPendingChars) {
-      this.dropped += 1;
+      this.droppedLines += 1;
       return;
     }
     this.text += `${line}\n`;
@@ -72,28 +72,28 @@
       this.flush();
       return;
     }
-    if (this.isScheduled) return;
-    this.isScheduled = true;
+    if (this.isFlushScheduled) return;
+    this.isFlushScheduled = true;
     this.options.clock.setTimer(this.options.maxWaitMs, () => {
-      this.isScheduled = false;
+      this.isFlushScheduled = false;
       this.flush();
     });
   }
 
-  /** Hands over what is gathered, unless a write waits already. */
+  /** Starts writing the buffered lines, unless a write is pending. */
   flush(): void {
     if (this.isWriting || this.text === '') return;
     const text = this.takeText();
     this.isWriting = true;
-    this.options.write(text, () => this.written());
+    this.options.write(text, () => this.handleWritten());
   }
 
   /**
-   * Writes what is gathered before the process ends, unless the reader takes too
-   * long for it.
+   * Writes the buffered lines before the process exits, or returns after
+   * `endTimeoutMs`.
    *
-   * A process that ends while a write is under way loses the lines after it,
-   * among them the one that says that it stopped.
+   * A process that exits during a write loses the lines after it, including the
+   * one that reports its shutdown.
    */
   async end(): Promise<void> {
     const {clock, endTimeoutMs} = this.options;
@@ -101,15 +101,16 @@
   }
 
   /**
-   * Writes the rest of a process that ends without `end`. What waits for a
-   * reader is left out: the process would wait for it for good.
+   * Writes the buffered lines of a process that exits without `end`. During a
+   * pending write nothing is written, because the exit could block forever on a
+   * reader that doesn't read.
    */
   flushAtExit(): void {
     if (this.isWriting || this.text === '') return;
     try {
       writeSync(STDOUT_FD, this.takeText());
     } catch {
-      // The reader is gone, and there is nowhere left to say so.
+      // The reader is gone, so the error can't be logged either.
     }
   }
 
@@ -120,51 +121,53 @@
   private whenEmpty(): Promise<void> {
     this.flush();
     if (this.isEmpty) return Promise.resolve();
-    return new Promise(resolve => this.endWaiters.push(resolve));
+    return new Promise(resolve => this.emptyCallbacks.push(resolve));
   }
 
-  private written(): void {
+  private handleWritten(): void {
     this.isWriting = false;
-    // Lines whose turn came during the write have no timer left: without this
-    // they would wait for the next line, on a quiet process for good.
-    if (!this.isScheduled || this.isOverdue) this.flush();
+    // The timer of lines that became due during the write has expired. Without
+    // this flush they would wait for the next line, on an idle process forever.
+    if (!this.isFlushScheduled || this.needsFlush) this.flush();
     if (!this.isEmpty) return;
-    for (const wake of this.endWaiters.splice(0)) wake();
+    for (const callback of this.emptyCallbacks.splice(0)) callback();
   }
 
-  private get isOverdue(): boolean {
+  private get needsFlush(): boolean {
     return (
-      this.endWaiters.length > 0 ||
+      this.emptyCallbacks.length > 0 ||
       this.text.length >= this.options.maxChars ||
-      this.dropped > 0
+      this.droppedLines > 0
     );
   }
 
   private takeText(): string {
-    const count =
-      this.dropped > 0 ? `event=log-lines-dropped lines=${this.dropped}\n` : '';
-    const text = count + this.text;
-    this.dropped = 0;
+    const droppedLine =
+      this.droppedLines > 0
+        ? `event=log-lines-dropped lines=${this.droppedLines}\n`
+        : '';
+    const text = droppedLine + this.text;
+    this.droppedLines = 0;
     this.text = '';
     return text;
   }
 }
 
 /**
- * Writes to standard output without ever blocking a thread. A full pipe takes
- * part of the text or none; the rest is tried again. Given up, the lines would be
- * lost without being counted, and one of them cut in the middle.
+ * Writes to standard output without blocking a thread. A full pipe accepts part
+ * of the text or none of it, so the rest is retried. Otherwise lines would be lost
+ * without being counted, and one of them would be truncated.
  */
 function writeToStdout(text: string, done: () => void): void {
   const bytes = Buffer.from(text);
   const writeFrom = (offset: number): void => {
     write(STDOUT_FD, bytes, offset, (error, written) => {
-      if (error?.code === PIPE_IS_FULL) {
-        setTimeout(writeFrom, FULL_PIPE_PAUSE_MS, offset);
+      if (error?.code === PIPE_FULL_CODE) {
+        setTimeout(writeFrom, FULL_PIPE_RETRY_MS, offset);
         return;
       }
-      // Any other error: the reader is gone, and there is nobody to tell. It
-      // must not end the process.
+      // Any other error means that the reader is gone. It can't be reported, and
+      // it must not end the process.
       const next = offset + written;
       if (error || next >= bytes.length) done();
       else writeFrom(next);
--- a/packages/banyanfold-core/src/logger.ts
+++ b/packages/banyanfold-core/src/logger.ts
@@ -7,12 +7,12 @@
   string | number | boolean | null | undefined
 >;
 
-/** One line of key=value pairs for each event. */
+/** Logs each event as one line of key=value pairs. */
 export interface Logger {
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
-  /** A logger that adds `fields` to each line. */
+  /** Returns a logger that adds `fields` to each line. */
   child(fields: LogFields): Logger;
 }
 
@@ -54,9 +54,8 @@
 let output: LineWriter | undefined;
 
 /**
- * Sends log lines to `write`, or gathered to standard output. It is for the
- * whole process; the daemons call it once at their start, and until then
- * nothing is printed.
+ * Sends the log lines of the whole process to `write`, or in batches to standard
+ * output. Daemons call it once at startup; earlier lines are discarded.
  */
 export function startLogOutput(write?: (line: string) => void): void {
   if (write) {
@@ -64,8 +63,8 @@
     return;
   }
   // Opening the stream makes the pipe non-blocking. A write to a full blocking
-  // pipe holds its thread, and an exit waits for all threads: the process would
-  // run on until its supervisor kills it.
+  // pipe blocks its thread, and an exit waits for all threads, so the process
+  // would run until its supervisor kills it.
   void process.stdout;
   const writer = new LineWriter();
   output = writer;
@@ -73,13 +72,13 @@
   process.on('exit', () => writer.flushAtExit());
 }
 
-/** Waits until the log is written, but not for long if nobody reads it. */
+/** Waits until the log is written, or briefly if its reader is stuck. */
 export async function endLogOutput(): Promise<void> {
   await output?.end();
 }
 
 /**
- * Creates a logger on roarr.
+ * Creates a logger that writes through roarr.
  *
  * @example createLogger({process: 'entry'}).info('route', {agent: 'a1'})
  */
@@ -99,7 +98,7 @@
   };
 }
 
-/** A logger that keeps its lines, for tests and golden files. */
+/** A logger that stores its lines in memory, for tests and golden files. */
 export class MemoryLogger implements Logger {
   constructor(
     readonly lines: string[] = [],
--- a/packages/banyanfold-core/src/metrics.ts
+++ b/packages/banyanfold-core/src/metrics.ts
@@ -1,9 +1,9 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 
 const QUANTILES = [0.5, 0.95, 0.99] as const;
-/** Histograms count microseconds, so that sub-millisecond values survive. */
+/** Histograms record whole microseconds, to keep values below 1 ms. */
 const MICROSECONDS_PER_MS = 1000;
-const HIGHEST_US = 3_600_000_000;
+const MAX_VALUE_US = 3_600_000_000;
 const PERCENT = 100;
 
 export type MetricLabels = Record<string, string>;
@@ -20,25 +20,25 @@
   return `${series.slice(0, -1)},${pair}}`;
 }
 
-function suffixed(series: string, suffix: string): string {
+function withSuffix(series: string, suffix: string): string {
   const brace = series.indexOf('{');
   if (brace < 0) return `${series}${suffix}`;
   return `${series.slice(0, brace)}${suffix}${series.slice(brace)}`;
 }
 
-/** Counters, gauges and histograms of one process. */
+/** The counters, gauges and histograms of a process. */
 export class Metrics {
   private readonly counters = new Map<string, number>();
   private readonly gauges = new Map<string, () => number>();
   private readonly histograms = new Map<string, Histogram>();
 
-  /** Adds to a counter, `name_total`. */
+  /** Adds `amount` to a counter whose name ends in `_total`. */
   count(name: string, labels: MetricLabels = {}, amount = 1): void {
     const key = seriesKey(name, labels);
     this.counters.set(key, (this.counters.get(key) ?? 0) + amount);
   }
 
-  /** A value read when the metrics are read. */
+  /** Registers a gauge whose value is read when the metrics are rendered. */
   gauge(name: string, read: () => number, labels: MetricLabels = {}): void {
     this.gauges.set(seriesKey(name, labels), read);
   }
@@ -51,20 +51,20 @@
       histogram = build({
         bitBucketSize: 32,
         autoResize: true,
-        highestTrackableValue: HIGHEST_US,
+        highestTrackableValue: MAX_VALUE_US,
         numberOfSignificantValueDigits: 2,
       });
       this.histograms.set(key, histogram);
     }
     const valueUs = Math.round(valueMs * MICROSECONDS_PER_MS);
-    histogram.recordValue(Math.min(HIGHEST_US, Math.max(0, valueUs)));
+    histogram.recordValue(Math.min(MAX_VALUE_US, Math.max(0, valueUs)));
   }
 
   counterValue(name: string, labels: MetricLabels = {}): number {
     return this.counters.get(seriesKey(name, labels)) ?? 0;
   }
 
-  /** The quantile in milliseconds, or undefined when nothing was recorded. */
+  /** Returns the quantile in milliseconds, or undefined without any value. */
   quantileMs(
     name: string,
     quantile: number,
@@ -76,7 +76,7 @@
     return valueUs / MICROSECONDS_PER_MS;
   }
 
-  /** The usual text exposition format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): string {
     const lines: string[] = [];
     for (const [key, value] of this.counters) lines.push(`${key} ${value}`);
@@ -88,7 +88,7 @@
           MICROSECONDS_PER_MS;
         lines.push(`${withLabel(key, `quantile="${quantile}"`)} ${valueMs}`);
       }
-      lines.push(`${suffixed(key, '_count')} ${histogram.totalCount}`);
+      lines.push(`${withSuffix(key, '_count')} ${histogram.totalCount}`);
     }
     return `${lines.sort().join('\n')}\n`;
   }
--- a/packages/banyanfold-core/src/startTimer.ts
+++ b/packages/banyanfold-core/src/startTimer.ts
@@ -1,24 +1,24 @@
-/** A timer that is late by this much shows that the process stood still. */
-const STALL_MS = 20;
+/** A timer that fires this late indicates that the process was stalled. */
+const STALL_THRESHOLD_MS = 20;
 
-/** A handle of a pending timer. */
+/** The handle of a pending timer. */
 export interface Timer {
   cancel(): void;
 }
 
-/** How a timer is started. */
+/** Options for `startTimer`. */
 export interface StartTimerOptions {
-  /** Whether the process goes on running for it. */
+  /** Whether the pending timer keeps the process running. */
   keepsProcessAlive?: boolean;
 }
 
 /**
- * Calls back after a delay. After a stall of the process Node runs its timers before
- * it reads its sockets, and a call whose answer has come would count as unanswered;
- * so a late timer lets the sockets be read first.
+ * Calls back after a delay. After a stall, Node runs its timers before it reads its
+ * sockets, so a call would time out although its response has arrived. A late timer
+ * therefore runs its callback after the sockets have been read.
  *
  * @param delayMs in milliseconds, from now.
- * @example startTimer(1_000, () => giveUp()).cancel()
+ * @example startTimer(1_000, () => abort()).cancel()
  */
 export function startTimer(
   delayMs: number,
@@ -28,7 +28,7 @@
   const dueMs = performance.now() + delayMs;
   let immediate: NodeJS.Immediate | undefined;
   const timeout = setTimeout(() => {
-    const isLate = performance.now() - dueMs >= STALL_MS;
+    const isLate = performance.now() - dueMs >= STALL_THRESHOLD_MS;
     if (isLate) immediate = setImmediate(callback);
     else callback();
   }, delayMs);
--- a/packages/banyanfold-core/src/timeoutSignal.ts
+++ b/packages/banyanfold-core/src/timeoutSignal.ts
@@ -1,8 +1,8 @@
 import {startTimer} from './startTimer.js';
 
 /**
- * Aborts what takes longer. Unlike `AbortSignal.timeout` it gives up no answer that
- * waits at the socket of a process that stood still.
+ * Returns a signal that aborts after a timeout. Unlike `AbortSignal.timeout`, it
+ * aborts no call whose response arrived while the process was stalled.
  *
  * @param timeoutMs in milliseconds, from now.
  * @example await fetch(url, {signal: timeoutSignal(1_000)})
--- a/packages/banyanfold-core/src/traceRequest.ts
+++ b/packages/banyanfold-core/src/traceRequest.ts
@@ -1,4 +1,4 @@
-/** A line of one process about a request. */
+/** A log line of one process about a request. */
 export interface TracedLine {
   time: string;
   node: string;
@@ -7,12 +7,18 @@
 
 const REQUEST_FIELD = 'request';
 const FIELD = /(?:^|\s)([A-Za-z]+)=("(?:[^"\\]|\\.)*"|\S*)/g;
-/** Fields that are the same on all lines, or stand before the text. */
-const OMITTED = new Set(['time', 'node', 'role', 'level', REQUEST_FIELD]);
+/** Fields that are equal on all lines or printed before the text. */
+const OMITTED_FIELDS = new Set([
+  'time',
+  'node',
+  'role',
+  'level',
+  REQUEST_FIELD,
+]);
 
 /**
- * The lines of several processes' logs that are about one request, in order of
- * time.
+ * Extracts the lines about one request from the logs of several processes, sorted
+ * by time.
  *
  * @example traceRequest([readFileSync('entry-1.log', 'utf8')], '9c41d07b')
  */
@@ -24,13 +30,13 @@
   for (const log of logs) {
     for (const line of log.split('\n')) {
       if (!line.includes(requestId)) continue;
-      const fields = fieldsOf(line);
+      const fields = parseFields(line);
       if (fields.get(REQUEST_FIELD) !== requestId) continue;
       lines.push({
         time: fields.get('time') ?? '',
         node: fields.get('node') ?? fields.get('vm') ?? '',
         text: [...fields]
-          .filter(([name]) => !OMITTED.has(name))
+          .filter(([name]) => !OMITTED_FIELDS.has(name))
           .map(([name, value]) =>
             name === 'event' ? value : `${name}=${value}`,
           )
@@ -41,7 +47,7 @@
   return lines.sort((a, b) => (a.time < b.time ? -1 : 1));
 }
 
-function fieldsOf(line: string): Map<string, string> {
+function parseFields(line: string): Map<string, string> {
   const fields = new Map<string, string>();
   for (const [, name, value] of line.matchAll(FIELD)) fields.set(name!, value!);
   return fields;
