--- a/packages/banyanfold-cli/src/__tests__/commands.test.ts
+++ b/packages/banyanfold-cli/src/__tests__/commands.test.ts
@@ -8,13 +8,13 @@
 
 const BIN = fileURLToPath(new URL('../../bin/run.js', import.meta.url));
 
-interface Ended {
+interface CommandResult {
   code: number;
   output: string;
 }
 
-/** Runs the command line as a person would; paths in its output are cut. */
-function banyanfold(folder: string, args: string[]): Promise<Ended> {
+/** Runs the command line in a folder; its output is trimmed. */
+function runCommand(folder: string, args: string[]): Promise<CommandResult> {
   return new Promise(resolve => {
     execFile(
       process.execPath,
@@ -28,7 +28,7 @@
   });
 }
 
-const GOOD = `{
+const VALID_CONFIG = `{
   "models": [{"name": "claims", "version": "1", "labels": {"desk": "counter"}, "weightBytes": 10}],
   "groups": [{"name": "counter", "labelSelector": {"matchLabels": {"desk": "counter"}}}],
   "selectors": [{"name": "all", "group": "counter"}]
@@ -52,9 +52,12 @@
     const write = (name: string, text: string) =>
       writeFileSync(join(folder, name), text);
     write('operator.jsonc', JSON.stringify(settings));
-    write('good.jsonc', GOOD);
-    write('typo.jsonc', GOOD.replace('"selectors"', '"selector"'));
-    write('no-group.jsonc', GOOD.replace('"group": "counter"', '"group": "x"'));
+    write('good.jsonc', VALID_CONFIG);
+    write('typo.jsonc', VALID_CONFIG.replace('"selectors"', '"selector"'));
+    write(
+      'no-group.jsonc',
+      VALID_CONFIG.replace('"group": "counter"', '"group": "x"'),
+    );
     write('entry.jsonc', '{"vmId": "entry-0", "prot": 1}');
   });
 
@@ -73,19 +76,19 @@
     ['publish typo.jsonc', 2],
     ['status', 5],
   ])('%s', async (line, code) => {
-    const ended = await banyanfold(folder, line.split(' '));
-    expect(ended.code).toBe(code);
-    expect(ended.output).toMatchSnapshot();
+    const result = await runCommand(folder, line.split(' '));
+    expect(result.code).toBe(code);
+    expect(result.output).toMatchSnapshot();
   });
 
-  it('publish tells a void publish from an accepted one', async () => {
-    // Two operators edit version 0. The first publish is accepted; the second,
-    // still based on 0, must be void as a whole, and its publisher is told so
-    // with exit code 3. Afterwards the first one's configuration is in force.
+  it('publish distinguishes a void publish from an accepted one', async () => {
+    // Guards against lost updates. Two operators edit version 0. The first publish
+    // is accepted; the second, still based on 0, must be void as a whole and exit
+    // with code 3. The configuration of the first stays in force.
     const publish = ['publish', 'good.jsonc', '--base', '0'];
-    const first = await banyanfold(folder, publish);
-    const second = await banyanfold(folder, publish);
-    const published = await banyanfold(folder, ['published']);
+    const first = await runCommand(folder, publish);
+    const second = await runCommand(folder, publish);
+    const published = await runCommand(folder, ['published']);
     expect(first).toEqual({code: 0, output: 'accepted: version 1'});
     expect(second.code).toBe(3);
     expect(second.output).toMatchSnapshot();
--- a/packages/banyanfold-cli/src/banyanfoldCommand.ts
+++ b/packages/banyanfold-cli/src/banyanfoldCommand.ts
@@ -1,10 +1,10 @@
 import {Command} from '@oclif/core';
 
-/** What all commands have in common: how they fail. */
+/** Base class of all commands, with their common error handling. */
 export abstract class BanyanfoldCommand extends Command {
   /**
-   * Says what is wrong and ends with one of EXIT_CODES. The text is not
-   * wrapped, so that `file:line:column` can be followed by an editor.
+   * Prints an error message and exits with one of EXIT_CODES. The text is not
+   * wrapped, so that editors can follow `file:line:column`.
    */
   protected fail(message: string, exitCode: number): never {
     this.logToStderr(message);
--- a/packages/banyanfold-cli/src/commands/agent.ts
+++ b/packages/banyanfold-cli/src/commands/agent.ts
@@ -3,9 +3,9 @@
 
 export default class Agent extends DaemonCommand {
   static override summary =
-    'Run the agent beside a backend server until a signal.';
+    'Run the agent of a backend server until a stop signal.';
   static override description =
-    'SIGTERM or SIGINT drains it: no new work, requests in progress finish.';
+    'SIGTERM or SIGINT drains it: it accepts no new work and finishes running requests.';
   static override examples = ['<%= config.bin %> agent --settings agent.jsonc'];
 
   async run(): Promise<void> {
--- a/packages/banyanfold-cli/src/commands/defaults.ts
+++ b/packages/banyanfold-cli/src/commands/defaults.ts
@@ -13,11 +13,11 @@
 
 export default class Defaults extends BanyanfoldCommand {
   static override summary =
-    'Print every setting of a process as a JSON Schema with its default.';
+    'Print the settings of a process and their defaults as a JSON Schema.';
   static override examples = ['<%= config.bin %> defaults entry'];
   static override args = {
     role: Args.string({
-      description: 'which process',
+      description: 'role of the process',
       options: Object.keys(SCHEMAS),
       required: true,
     }),
--- a/packages/banyanfold-cli/src/commands/drain.ts
+++ b/packages/banyanfold-cli/src/commands/drain.ts
@@ -4,7 +4,7 @@
 import {EXIT_CODES} from '../exitCodes.js';
 import {OperatorCommand} from '../operatorCommand.js';
 
-const DRAIN_CALLS = {
+const DRAIN_BY_ROLE = {
   entry: async (vm: Vm, internalKey: string): Promise<number> => {
     const client = createEntryClient({
       host: vm.host,
@@ -25,14 +25,15 @@
 
 export default class Drain extends OperatorCommand {
   static override summary =
-    'Make a VM leave: it takes no new work and finishes what it runs.';
+    'Drain a VM: it accepts no new work and finishes its open requests.';
   static override examples = ['<%= config.bin %> drain agent-2'];
   static override args = {
     vm: Args.string({description: 'VM id, as in the VM list', required: true}),
   };
   static override flags = {
     'internal-key': Flags.string({
-      description: "the key between processes; only for an agent's VM",
+      description:
+        "internal key of the processes; needed only for an agent's VM",
       env: 'BANYANFOLD_INTERNAL_KEY',
       default: '',
     }),
@@ -44,20 +45,20 @@
     const list = await createVmListService({
       url: settings.platform.vmListUrl,
     }).read();
-    if (list.isErr()) this.unreachable('VM list', list.error.message);
+    if (list.isErr()) this.failUnreachable('VM list', list.error.message);
     const vms = list.map(value => value.vms).unwrapOr([]);
     const vm = vms.find(candidate => candidate.vmId === args.vm);
     if (!vm) {
-      const known = vms.map(candidate => candidate.vmId).join(', ');
+      const vmIds = vms.map(candidate => candidate.vmId).join(', ');
       this.fail(
-        `no VM is named "${args.vm}"; the list has: ${known}`,
+        `no VM is named "${args.vm}"; the list contains: ${vmIds}`,
         EXIT_CODES.badInput,
       );
     }
     const key = flags['internal-key'] || this.operatorKey(settings);
-    const open = await DRAIN_CALLS[vm.role](vm, key).catch((error: Error) =>
-      this.unreachable(vm.vmId, error.message),
+    const openCount = await DRAIN_BY_ROLE[vm.role](vm, key).catch(
+      (error: Error) => this.failUnreachable(vm.vmId, error.message),
     );
-    this.log(`${vm.vmId} leaves; ${open} requests in progress`);
+    this.log(`${vm.vmId} is draining; ${openCount} requests in progress`);
   }
 }
--- a/packages/banyanfold-cli/src/commands/entry.ts
+++ b/packages/banyanfold-cli/src/commands/entry.ts
@@ -2,9 +2,9 @@
 import {DaemonCommand} from '../daemonCommand.js';
 
 export default class Entry extends DaemonCommand {
-  static override summary = 'Run an entry on this VM until a signal.';
+  static override summary = 'Run an entry on this VM until a stop signal.';
   static override description =
-    'SIGTERM or SIGINT drains it: no new work, open requests finish.';
+    'SIGTERM or SIGINT drains it: it accepts no new work and finishes open requests.';
   static override examples = ['<%= config.bin %> entry --settings entry.jsonc'];
 
   async run(): Promise<void> {
--- a/packages/banyanfold-cli/src/commands/explain.ts
+++ b/packages/banyanfold-cli/src/commands/explain.ts
@@ -4,7 +4,7 @@
 
 export default class Explain extends OperatorCommand {
   static override summary =
-    'Show which selector a request would match, and where it could go.';
+    'Show the selector that a request matches and its candidate runners.';
   static override examples = [
     '<%= config.bin %> explain claims --caller counter --desk counter',
   ];
@@ -15,7 +15,7 @@
     caller: Flags.string({description: 'caller name', required: true}),
     desk: Flags.string({description: 'desk', default: ''}),
     header: Flags.string({
-      description: 'request header as name=value; may be given again',
+      description: 'request header as name=value; may be repeated',
       multiple: true,
       default: [],
     }),
@@ -25,7 +25,7 @@
   async run(): Promise<void> {
     const {args, flags} = await this.parse(Explain);
     const settings = this.loadOperatorSettings(flags.settings);
-    const [entry] = await this.liveEntries(settings);
+    const [entry] = await this.connectLiveEntries(settings);
     if (!entry) return;
     const result = await entry.client.explain
       .query({
@@ -34,7 +34,9 @@
         requestedName: args.name,
         headers: parseHeaders(flags.header),
       })
-      .catch((error: Error) => this.unreachable(entry.vm.vmId, error.message));
+      .catch((error: Error) =>
+        this.failUnreachable(entry.vm.vmId, error.message),
+      );
     if (flags.json) {
       this.log(JSON.stringify(result, undefined, 2));
       return;
@@ -54,9 +56,11 @@
 function parseHeaders(pairs: string[]): Record<string, string> {
   const headers: Record<string, string> = {};
   for (const pair of pairs) {
-    const at = pair.indexOf('=');
-    if (at <= 0) continue;
-    headers[pair.slice(0, at).toLowerCase()] = pair.slice(at + 1);
+    const separatorIndex = pair.indexOf('=');
+    if (separatorIndex <= 0) continue;
+    headers[pair.slice(0, separatorIndex).toLowerCase()] = pair.slice(
+      separatorIndex + 1,
+    );
   }
   return headers;
 }
--- a/packages/banyanfold-cli/src/commands/publish.ts
+++ b/packages/banyanfold-cli/src/commands/publish.ts
@@ -4,7 +4,11 @@
 import {renderProblems, sleep, systemClock} from '@banyanfold/core';
 import {createOperatorFollower} from '../configLog.js';
 import {EXIT_CODES} from '../exitCodes.js';
-import {laggards, readVersions, type ProcessVersion} from '../inForce.js';
+import {
+  findOutdated,
+  readVersions,
+  type ProcessVersion,
+} from '../processVersions.js';
 import {OperatorCommand} from '../operatorCommand.js';
 import {readText, type OperatorSettings} from '../settings.js';
 
@@ -14,8 +18,8 @@
 export default class Publish extends OperatorCommand {
   static override summary = 'Publish labels and selectors.';
   static override description =
-    'Says "accepted" only after reading its own record back. Exit code 3: ' +
-    'another publish came first and this one is void.';
+    'Prints "accepted" only after reading its own record back. Exit code 3: ' +
+    'another publish was accepted first and this one is void.';
   static override examples = [
     '<%= config.bin %> publish published.jsonc --wait',
     '<%= config.bin %> publish published.jsonc --base 12',
@@ -26,18 +30,18 @@
   static override flags = {
     base: Flags.integer({
       description:
-        'version that the file was made from; the publish is void when ' +
-        'another one is in force. Default: the one in force now',
+        'version that the file is based on; the publish is void if another ' +
+        'version is in force. Default: the version in force',
     }),
     publisher: Flags.string({
-      description: 'who publishes',
+      description: 'name of the publisher',
       default: () => Promise.resolve(userInfo().username),
     }),
     wait: Flags.boolean({
-      description: 'wait until it is in force everywhere',
+      description: 'wait until the version is in force on all processes',
     }),
     'wait-seconds': Flags.integer({
-      description: 'how long to wait at most',
+      description: 'maximum time to wait',
       default: 30,
     }),
   };
@@ -46,11 +50,11 @@
     const {args, flags} = await this.parse(Publish);
     const settings = this.loadOperatorSettings(flags.settings);
     const body = this.readConfig(args.file);
-    const version = await this.append(settings, body, flags);
+    const version = await this.appendConfig(settings, body, flags);
     this.log(`accepted: version ${version}`);
     if (flags.wait) {
-      const waitMs = flags['wait-seconds'] * MS_PER_SECOND;
-      await this.waitInForce(settings, version, waitMs);
+      const timeoutMs = flags['wait-seconds'] * MS_PER_SECOND;
+      await this.waitUntilInForce(settings, version, timeoutMs);
     }
     this.exit(EXIT_CODES.ok);
   }
@@ -70,14 +74,14 @@
     return parsed.value.config;
   }
 
-  private async append(
+  private async appendConfig(
     settings: OperatorSettings,
     body: PublishedConfig,
     flags: {base?: number; publisher: string},
   ): Promise<number> {
     const follower = createOperatorFollower(settings);
     const read = await follower.readNow();
-    if (read.isErr()) this.unreachable('log', read.error.message);
+    if (read.isErr()) this.failUnreachable('log', read.error.message);
     const baseVersion = flags.base ?? follower.version;
     const verdict = await follower.publishConfig({
       baseVersion,
@@ -86,10 +90,10 @@
     });
     if (verdict.isErr()) {
       const {code, message} = verdict.error;
-      if (code !== 'append-unknown') this.unreachable('log', message);
+      if (code !== 'append-unknown') this.failUnreachable('log', message);
       this.fail(
         `it is not known whether the publish is in force (${message}); run ` +
-          '"published" to see, before you publish again',
+          '"published" to check before you publish again',
         EXIT_CODES.notInForce,
       );
     }
@@ -97,37 +101,39 @@
     const {reason, currentVersion} = verdict.value;
     this.fail(
       `void (${reason}): based on version ${baseVersion}, but version ` +
-        `${currentVersion} is in force; nothing of it was taken. Get that ` +
-        'one with "published", merge and publish again',
+        `${currentVersion} is in force; nothing was changed. Get that version ` +
+        'with "published", merge and publish again',
       EXIT_CODES.publishVoid,
     );
   }
 
-  private async waitInForce(
+  private async waitUntilInForce(
     settings: OperatorSettings,
     version: number,
-    waitMs: number,
+    timeoutMs: number,
   ): Promise<void> {
     const startMs = systemClock.nowMs();
     for (;;) {
-      const entries = await this.liveEntries(settings);
+      const entries = await this.connectLiveEntries(settings);
       const versions = await readVersions(entries);
-      const late = laggards(versions, version);
-      const tookMs = systemClock.nowMs() - startMs;
-      if (late.length === 0) {
-        const seconds = (tookMs / MS_PER_SECOND).toFixed(1);
+      const outdated = findOutdated(versions, version);
+      const elapsedMs = systemClock.nowMs() - startMs;
+      if (outdated.length === 0) {
+        const seconds = (elapsedMs / MS_PER_SECOND).toFixed(1);
         this.log(`in force on ${versions.length} processes after ${seconds} s`);
         return;
       }
-      if (tookMs > waitMs) this.reportLate(late, version);
+      if (elapsedMs > timeoutMs) this.failOutdated(outdated, version);
       await sleep(systemClock, WAIT_POLL_MS);
     }
   }
 
-  private reportLate(late: ProcessVersion[], version: number): never {
-    const names = late
-      .map(({vmId, version: has}) =>
-        has === 0 ? `${vmId} (no answer)` : `${vmId} (version ${has})`,
+  private failOutdated(outdated: ProcessVersion[], version: number): never {
+    const names = outdated
+      .map(({vmId, version: reported}) =>
+        reported === 0
+          ? `${vmId} (no answer)`
+          : `${vmId} (version ${reported})`,
       )
       .join(', ');
     this.fail(
--- a/packages/banyanfold-cli/src/commands/published.ts
+++ b/packages/banyanfold-cli/src/commands/published.ts
@@ -14,7 +14,7 @@
     const settings = this.loadOperatorSettings(flags.settings);
     const follower = createOperatorFollower(settings);
     const read = await follower.readNow();
-    if (read.isErr()) this.unreachable('log', read.error.message);
+    if (read.isErr()) this.failUnreachable('log', read.error.message);
     const state = follower.state;
     if (!state) {
       this.fail('nothing is published yet', EXIT_CODES.failed);
--- a/packages/banyanfold-cli/src/commands/status.ts
+++ b/packages/banyanfold-cli/src/commands/status.ts
@@ -1,9 +1,9 @@
 import {Flags} from '@oclif/core';
 import type {EntryStatus} from '@banyanfold/protocol';
-import {OperatorCommand, type ReachedEntry} from '../operatorCommand.js';
+import {OperatorCommand, type EntryConnection} from '../operatorCommand.js';
 import {renderTable} from '../table.js';
 
-interface EntryAnswer {
+interface EntryStatusResult {
   vmId: string;
   status?: EntryStatus;
   error?: string;
@@ -11,7 +11,7 @@
 
 export default class Status extends OperatorCommand {
   static override summary =
-    'Show entries, agents, what they hold and which version is in force.';
+    'Show entries, agents, their loaded artifacts and their configuration version.';
   static override examples = [
     '<%= config.bin %> status',
     '<%= config.bin %> status --json',
@@ -23,19 +23,22 @@
   async run(): Promise<void> {
     const {flags} = await this.parse(Status);
     const settings = this.loadOperatorSettings(flags.settings);
-    const entries = await this.liveEntries(settings);
-    const answers = await Promise.all(entries.map(askStatus));
+    const entries = await this.connectLiveEntries(settings);
+    const results = await Promise.all(entries.map(fetchStatus));
     if (flags.json) {
-      this.log(JSON.stringify(answers, undefined, 2));
+      this.log(JSON.stringify(results, undefined, 2));
       return;
     }
-    this.log(renderEntries(answers));
+    this.log(renderEntries(results));
     this.log('');
-    this.log(renderAgents(answers));
+    this.log(renderAgents(results));
   }
 }
 
-async function askStatus({vm, client}: ReachedEntry): Promise<EntryAnswer> {
+async function fetchStatus({
+  vm,
+  client,
+}: EntryConnection): Promise<EntryStatusResult> {
   try {
     return {vmId: vm.vmId, status: await client.status.query()};
   } catch (error) {
@@ -44,9 +47,9 @@
   }
 }
 
-function renderEntries(answers: EntryAnswer[]): string {
+function renderEntries(results: EntryStatusResult[]): string {
   const header = ['ENTRY', 'DOMAIN', 'CONFIG', 'STATE', 'OPEN', 'PLANNER'];
-  const rows = answers.map(({vmId, status, error}) => {
+  const rows = results.map(({vmId, status, error}) => {
     if (!status) return [vmId, '', '', `unreachable: ${error}`, '', ''];
     const state = status.leaving
       ? 'leaving'
@@ -65,9 +68,9 @@
   return renderTable(header, rows);
 }
 
-function renderAgents(answers: EntryAnswer[]): string {
+function renderAgents(results: EntryStatusResult[]): string {
   const header = ['AGENT', 'SEEN', 'CONFIG', 'RUNNING', 'QUEUED', 'HOLDS'];
-  const first = answers.find(answer => answer.status)?.status;
+  const first = results.find(result => result.status)?.status;
   const rows = (first?.agents ?? []).map(agent => [
     agent.vmId,
     agent.reachable ? `${Math.round(agent.ageMs)} ms ago` : 'unreachable',
--- a/packages/banyanfold-cli/src/commands/trace.ts
+++ b/packages/banyanfold-cli/src/commands/trace.ts
@@ -5,10 +5,11 @@
 import {readText} from '../settings.js';
 
 export default class Trace extends BanyanfoldCommand {
-  static override summary = 'Print the story of one request from log files.';
+  static override summary =
+    'Print the log lines of one request from several log files.';
   static override description =
     'Give the request id and the log files of the processes that may have ' +
-    'had it. Exit code 2 when no log names it.';
+    'handled it. Exit code 2 if no log contains it.';
   static override examples = [
     '<%= config.bin %> trace 9c41d07be2a35f68 entry-*.log',
   ];
@@ -31,7 +32,7 @@
     );
     const lines = traceRequest(logs, args.request);
     if (lines.length === 0) {
-      this.fail(`no log names request ${args.request}`, EXIT_CODES.badInput);
+      this.fail(`no log contains request ${args.request}`, EXIT_CODES.badInput);
     }
     for (const {time, node, text} of lines) this.log(`${time} ${node} ${text}`);
   }
--- a/packages/banyanfold-cli/src/configLog.ts
+++ b/packages/banyanfold-cli/src/configLog.ts
@@ -6,8 +6,8 @@
 const ONE_HOUR_MS = 3_600_000;
 
 /**
- * A follower of the configuration for one command. It takes part in no
- * checkpoints: those are the entries' work.
+ * Creates a follower of the configuration for one command. It appends no
+ * checkpoints; only entries do that.
  */
 export function createOperatorFollower(
   settings: OperatorSettings,
--- a/packages/banyanfold-cli/src/daemonCommand.ts
+++ b/packages/banyanfold-cli/src/daemonCommand.ts
@@ -13,14 +13,14 @@
 
 const STOP_SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-/** What the daemons have in common once they are made. */
+/** The common lifecycle of the daemons. */
 export interface Daemon {
   start(): Promise<{port: number}>;
   drain(): Promise<unknown>;
   stop(): Promise<void>;
 }
 
-/** Runs a daemon until a signal, then drains and stops it. */
+/** Runs a daemon until a stop signal, then drains and stops it. */
 export abstract class DaemonCommand extends BanyanfoldCommand {
   static override baseFlags = {
     settings: Flags.string({
@@ -50,8 +50,8 @@
     logger.info('listening', {port});
     const signal = await nextStopSignal();
     logger.info('stopping', {signal});
-    void nextStopSignal().then(again => {
-      logger.warn('stopping-at-once', {signal: again});
+    void nextStopSignal().then(secondSignal => {
+      logger.warn('stopping-at-once', {signal: secondSignal});
       void exitProcess(EXIT_CODES.failed);
     });
     await daemon.drain();
@@ -67,8 +67,8 @@
     try {
       return await daemon.start();
     } catch (thrown) {
-      const place = {step: 'start', peer: 'self'};
-      const error = toBanyanfoldError(thrown, 'start-failed', place);
+      const context = {step: 'start', peer: 'self'};
+      const error = toBanyanfoldError(thrown, 'start-failed', context);
       return this.fail(
         `${vmId} can't start: ${error.message} ` +
           `(step ${error.step}, peer ${error.peer})`,
--- a/packages/banyanfold-cli/src/exitCodes.ts
+++ b/packages/banyanfold-cli/src/exitCodes.ts
@@ -1,4 +1,4 @@
-/** Exit codes of the command line; docs/cli.md explains them. */
+/** Exit codes of the command line, documented in docs/cli.md. */
 export const EXIT_CODES = {
   ok: 0,
   failed: 1,
--- a/packages/banyanfold-cli/src/operatorCommand.ts
+++ b/packages/banyanfold-cli/src/operatorCommand.ts
@@ -11,13 +11,13 @@
 
 const DEFAULT_SETTINGS_PATH = 'operator.jsonc';
 
-/** An entry and a client of its control interface. */
-export interface ReachedEntry {
+/** An entry and a client for its control interface. */
+export interface EntryConnection {
   vm: Vm;
   client: EntryClient;
 }
 
-/** What the operators' commands have in common: settings and clients. */
+/** Base class of the operator commands, with their settings and clients. */
 export abstract class OperatorCommand extends BanyanfoldCommand {
   static override baseFlags = {
     settings: Flags.string({
@@ -34,20 +34,20 @@
     );
   }
 
-  /** The live entries in the platform's VM list, with clients. */
-  protected async liveEntries(
+  /** Returns the live entries of the platform's VM list with their clients. */
+  protected async connectLiveEntries(
     settings: OperatorSettings,
-  ): Promise<ReachedEntry[]> {
+  ): Promise<EntryConnection[]> {
     const list = await createVmListService({
       url: settings.platform.vmListUrl,
     }).read();
-    if (list.isErr()) this.unreachable('VM list', list.error.message);
+    if (list.isErr()) this.failUnreachable('VM list', list.error.message);
     const vms = list
       .map(value => value.vms)
       .unwrapOr([])
       .filter(vm => vm.role === 'entry' && vm.state === 'live');
     if (vms.length === 0) {
-      this.unreachable('VM list', 'it names no live entry');
+      this.failUnreachable('VM list', 'it contains no live entry');
     }
     const internalKey = this.operatorKey(settings);
     return vms.map(vm => ({
@@ -56,7 +56,7 @@
     }));
   }
 
-  protected unreachable(peer: string, reason: string): never {
+  protected failUnreachable(peer: string, reason: string): never {
     this.fail(`${peer} can't be reached: ${reason}`, EXIT_CODES.unreachable);
   }
 
--- a/packages/banyanfold-cli/src/settings.ts
+++ b/packages/banyanfold-cli/src/settings.ts
@@ -3,7 +3,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
 
-/** How the command line reaches the platform and the entries. */
+/** Addresses and key for access to the platform and the entries. */
 export const operatorSettingsSchema = z.strictObject({
   platform: z.strictObject({logUrl: z.url(), vmListUrl: z.url()}),
   /** Falls back to the environment variable BANYANFOLD_OPERATOR_KEY. */
@@ -13,10 +13,10 @@
 export type OperatorSettings = z.infer<typeof operatorSettingsSchema>;
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
- * @returns the settings, or a text for a person that names file, line, column
- *     and field of everything wrong.
+ * @returns the settings, or a text with the file, line, column and field of each
+ *     problem.
  * @example loadSettings('entry.jsonc', entrySettingsSchema)
  */
 export function loadSettings<S extends z.ZodType>(
@@ -28,7 +28,7 @@
   );
 }
 
-/** Reads a file, or says what to do when it can't be read. */
+/** Reads a file, or returns a message if it can't be read. */
 export function readText(path: string): Result<string, string> {
   try {
     return ok(readFileSync(path, 'utf8'));
--- a/packages/banyanfold-cli/src/table.ts
+++ b/packages/banyanfold-cli/src/table.ts
@@ -1,14 +1,14 @@
 /**
- * Renders rows as columns of text that line up.
+ * Renders rows as aligned text columns.
  *
  * @example renderTable(['VM'], [['entry-0']]) // 'VM\nentry-0'
  */
 export function renderTable(header: string[], rows: string[][]): string {
-  const all = [header, ...rows];
+  const allRows = [header, ...rows];
   const widths = header.map((_, column) =>
-    Math.max(...all.map(row => (row[column] ?? '').length)),
+    Math.max(...allRows.map(row => (row[column] ?? '').length)),
   );
-  return all
+  return allRows
     .map(row =>
       row
         .map((cell, column) => cell.padEnd(widths[column] ?? 0))
