--- a/packages/banyanfold-log/src/configFollower.ts
+++ b/packages/banyanfold-log/src/configFollower.ts
@@ -188,7 +188,7 @@
   }
 
   private applyPage(page: DeliveredPage): void {
-    this.fold.noteFirstOffset(page.firstOffset);
+    this.fold.detectGap(page.firstOffset);
     for (const record of page.records) {
       this.fold.apply(record);
       this.checkpointer.observe(record);
