--- a/packages/banyanfold-protocol/src/fetchMisses.ts
+++ b/packages/banyanfold-protocol/src/fetchMisses.ts
@@ -6,7 +6,7 @@
  * procedure, so its status is fetched instead. Otherwise, during an upgrade,
  * the planner would miss the demand of callers that only that entry serves.
  *
- * @example meter.noteMisses(vmId, await fetchMisses(client))
+ * @example meter.recordMisses(vmId, await fetchMisses(client))
  */
 export async function fetchMisses(client: EntryClient): Promise<MissedCount> {
   try {
