--- a/packages/banyanfold-agent/src/attempts/admissionQueue.ts
+++ b/packages/banyanfold-agent/src/attempts/admissionQueue.ts
@@ -220,7 +220,7 @@
     waiting.ticket.refuse({
       code: 'too-late',
       outcome: 'not-run',
-      message: 'the first token would miss its latency target',
+      message: 'its first token would come after its target',
       retryAfterMs,
     });
   }
--- a/packages/banyanfold-agent/src/attempts/attemptServer.ts
+++ b/packages/banyanfold-agent/src/attempts/attemptServer.ts
@@ -70,32 +70,24 @@
     const {context} = this;
     const {attemptId, incarnation, artifact} = headers;
     if (!context.isOwnIncarnation(incarnation)) {
-      return notRun(
-        'wrong-incarnation',
-        'the attempt names another incarnation of this agent',
-      );
+      return notRun('wrong-incarnation', 'meant for an earlier process here');
     }
     if (context.registry.isSealed(attemptId)) {
-      return notRun('sealed', 'the attempt was sealed before it arrived');
+      return notRun('sealed', 'the attempt was sealed before it came');
     }
     if (context.isLeaving()) {
-      return notRun(
-        'leaving',
-        'this backend server is draining',
-        LEAVING_RETRY_AFTER_MS,
-      );
+      return notRun('leaving', 'this server leaves', LEAVING_RETRY_AFTER_MS);
     }
     const isModelPath = MODEL_PATHS.has(path);
     if (!isModelPath && !parseServicePath(path)) {
       return notRun('bad-request', 'no such path');
     }
     if (isModelPath && !context.ledger.canServe(artifact)) {
-      const message = `${artifact} is not available on this backend server`;
+      const message = `${artifact} is not held here`;
       return notRun('not-held', message, NOT_HELD_RETRY_AFTER_MS);
     }
     if (context.registry.begin(attemptId) === 'duplicate') {
-      const message =
-        'an attempt with this id was already received and may have run';
+      const message = 'this attempt came before; its outcome is its own';
       return {code: 'duplicate-attempt', outcome: 'unknown', message};
     }
     return undefined;
@@ -106,11 +98,7 @@
     const {registry} = this.context;
     const {attemptId} = attempt.headers;
     registry.onSeal(attemptId, () => {
-      this.refuse(
-        attempt.res,
-        attemptId,
-        notRun('sealed', 'the attempt was sealed'),
-      );
+      this.refuse(attempt.res, attemptId, notRun('sealed', 'sealed'));
     });
     attempt.res.on('close', () => {
       if (registry.isWaiting(attemptId)) registry.seal(attemptId);
@@ -123,10 +111,7 @@
     const {attemptId, artifact, priority, firstTokenBudgetMs} = headers;
     const parsed = parseJsonObject(rawBody);
     if (!parsed) {
-      this.reject(
-        attempt,
-        notRun('bad-request', 'the body is not a JSON object'),
-      );
+      this.reject(attempt, notRun('bad-request', 'the body is no JSON object'));
       return;
     }
     const body = {...parsed, model: artifact};
@@ -135,7 +120,7 @@
     context.registry.onSeal(attemptId, () => {
       endUse();
       context.queue.remove(attemptId);
-      this.refuse(res, attemptId, notRun('sealed', 'sealed while queued'));
+      this.refuse(res, attemptId, notRun('sealed', 'sealed while it waited'));
     });
     context.queue.submit({
       attemptId,
@@ -171,25 +156,16 @@
     const {headers, req, res} = attempt;
     const targetService = settings.services.find(({name}) => name === service);
     if (!targetService) {
-      this.reject(
-        attempt,
-        notRun('unknown-service', `service ${service} is not configured`),
-      );
+      this.reject(attempt, notRun('unknown-service', `no ${service} here`));
       return;
     }
     const url = serviceUrl(targetService.url, path);
     if (!url) {
-      this.reject(
-        attempt,
-        notRun('bad-request', 'the path is outside the service'),
-      );
+      this.reject(attempt, notRun('bad-request', 'no path of the service'));
       return;
     }
     if (this.serviceCalls >= settings.maxServiceCalls) {
-      this.reject(
-        attempt,
-        notRun('busy', 'too many service calls are in flight', 1_000),
-      );
+      this.reject(attempt, notRun('busy', 'too many calls are open', 1_000));
       return;
     }
     registry.dispatch(headers.attemptId);
--- a/packages/banyanfold-agent/src/attempts/engineRejection.ts
+++ b/packages/banyanfold-agent/src/attempts/engineRejection.ts
@@ -23,8 +23,7 @@
   const {statusCode} = response;
   const text = await response.body.text().catch(() => '');
   const message =
-    text.slice(0, MAX_MESSAGE_CHARS) ||
-    `the engine responded with status ${statusCode}`;
+    text.slice(0, MAX_MESSAGE_CHARS) || `the engine answered ${statusCode}`;
   const code = NOT_RUN_CODE_BY_STATUS[statusCode];
   if (!code) return {code: 'engine-failed', outcome: 'unknown', message};
   return {code, outcome: 'not-run', message, retryAfterMs: RETRY_AFTER_MS};
@@ -43,5 +42,5 @@
 export const ENGINE_RESPONSE_LOST: Refusal = {
   code: 'answer-lost',
   outcome: 'unknown',
-  message: "the engine's response was lost or belongs to another request",
+  message: "the engine's answer was lost or is not this request's",
 };
--- a/packages/banyanfold-agent/src/attempts/resumeAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/resumeAttempt.ts
@@ -32,19 +32,15 @@
   });
   if (isRetained) return;
   if (context.registry.isSealed(attemptId)) {
-    refuse('sealed', 'not-run', 'the attempt was sealed before it started');
+    refuse('sealed', 'not-run', 'the attempt was given up before it started');
     return;
   }
   if (!input.requestId) {
-    refuse('unknown-attempt', 'unknown', 'the response is not retained');
+    refuse('unknown-attempt', 'unknown', 'the answer is not kept');
     return;
   }
   await resumeAtEngine(context, input, () =>
-    refuse(
-      'unknown-attempt',
-      'unknown',
-      'the engine could not resume the stream',
-    ),
+    refuse('unknown-attempt', 'unknown', 'the engine has no such stream'),
   );
 
   function refuse(
--- a/packages/banyanfold-agent/src/attempts/serviceAttempt.ts
+++ b/packages/banyanfold-agent/src/attempts/serviceAttempt.ts
@@ -13,7 +13,7 @@
 const SERVICE_RESPONSE_LOST: Refusal = {
   code: 'answer-lost',
   outcome: 'unknown',
-  message: "the service's response was lost after the call was sent",
+  message: "the service's answer was lost after the call was sent",
 };
 
 /** A call to a plain service as received from the entry. */
@@ -109,7 +109,7 @@
   return {
     code: 'service-unreachable',
     outcome: 'not-run',
-    message: 'could not connect to the service',
+    message: 'the service took no connection',
     retryAfterMs: 1_000,
   };
 }
--- a/packages/banyanfold-agent/src/engine/streamVerifier.ts
+++ b/packages/banyanfold-agent/src/engine/streamVerifier.ts
@@ -54,7 +54,7 @@
     const chunk = parseChunk(event.data);
     if (!chunk) return {kind: 'gap'};
     if (chunk.error && chunk.id === undefined) {
-      const message = chunk.error.message ?? 'the engine reported an error';
+      const message = chunk.error.message ?? 'the engine failed';
       return {kind: 'engine-error', message};
     }
     const callerId = this.callerId(chunk.id);
--- a/packages/banyanfold-entry/src/attempts/finalError.ts
+++ b/packages/banyanfold-entry/src/attempts/finalError.ts
@@ -19,15 +19,15 @@
 > = {
   'no-copy': {
     code: 'no_copy',
-    message: 'no backend server has it loaded; it is being loaded now',
+    message: 'no backend server holds it now; it is being loaded',
   },
   'all-busy': {
     code: 'all_busy',
-    message: 'no backend server can answer in time',
+    message: 'no backend server can answer in time now',
   },
   'no-runner': {
     code: 'no_runner',
-    message: 'no backend server is reachable',
+    message: 'no backend server can be reached now',
   },
 };
 
@@ -48,7 +48,7 @@
   refusal: ApiError | undefined,
   outcome: Outcome,
 ): ApiError {
-  if (!failure) return refusal ?? new ApiError('internal', 'no attempt made');
+  if (!failure) return refusal ?? new ApiError('internal', 'nothing was tried');
   if (outcome === 'unknown') return unknownOutcomeError(failure);
   if (failure.kind === 'refused') return agentRefusalError(failure.refusal);
   const code =
@@ -62,7 +62,7 @@
   const reason =
     failure.kind === 'refused' ? failure.refusal.message : failure.reason;
   const code = reason === 'deadline' ? 'deadline_exceeded' : 'outcome_unknown';
-  const message = `may have run; no answer was received: ${reason}`;
+  const message = `it may have run; no answer came back: ${reason}`;
   return new ApiError(code, message, {outcome: 'unknown'});
 }
 
--- a/packages/banyanfold-entry/src/control/entryHandlers.ts
+++ b/packages/banyanfold-entry/src/control/entryHandlers.ts
@@ -83,7 +83,7 @@
 function explain(context: EntryContext, input: ExplainInput): ExplainResult {
   const {configWatch, view, clock} = context;
   const resolved = configWatch.current?.resolve(input);
-  if (!resolved) return unresolvedResult('this entry has no configuration yet');
+  if (!resolved) return unresolvedResult('no configuration is known here');
   if (resolved.isErr()) return unresolvedResult(resolved.error.message);
   const {kind, selector, artifact, modelArtifact} = resolved.value;
   const {firstTokenMs, wholeAnswerMs} = selector.targets;
--- a/packages/banyanfold-entry/src/http/inference.ts
+++ b/packages/banyanfold-entry/src/http/inference.ts
@@ -35,7 +35,7 @@
     lifecycle.requestOpened();
     try {
       if (lifecycle.openRequestCount > settings.limits.maxOpenRequests) {
-        throw new ApiError('overloaded', 'too many requests in flight', {
+        throw new ApiError('overloaded', 'too many requests are open here', {
           retryAfterMs: OVERLOADED_RETRY_AFTER_MS,
         });
       }
@@ -92,7 +92,7 @@
   private requireIdempotencyGuard(job: RequestJob): void {
     if (job.target.selector.repeatable) return;
     if (this.plugins.some(plugin => plugin.guardsNonRepeatable)) return;
-    throw new ApiError('not_ready', 'no idempotency plug-in is enabled');
+    throw new ApiError('not_ready', 'this entry runs no idempotency plug-in');
   }
 
   private async sendAnswer(
@@ -103,7 +103,7 @@
     if (result.kind === 'failed') {
       writeApiError(res, result.error);
     } else if (result.kind === 'broken') {
-      const message = `the answer was interrupted: ${result.reason}`;
+      const message = `the answer broke off: ${result.reason}`;
       const options = {outcome: 'unknown'} as const;
       job.callerStream.abort(new ApiError('outcome_unknown', message, options));
     } else if (result.kind === 'answer' && !res.destroyed) {
--- a/packages/banyanfold-entry/src/http/readBody.ts
+++ b/packages/banyanfold-entry/src/http/readBody.ts
@@ -28,7 +28,7 @@
   try {
     yield* req as AsyncIterable<Buffer>;
   } catch {
-    throw new ApiError('invalid_request', 'the body ended early');
+    throw new ApiError('invalid_request', 'the body broke off');
   }
 }
 
--- a/packages/banyanfold-entry/src/http/routes.ts
+++ b/packages/banyanfold-entry/src/http/routes.ts
@@ -96,7 +96,7 @@
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
-  if (!route) throw new ApiError('not_found', 'unknown path');
+  if (!route) throw new ApiError('not_found', 'there is no such path');
   if (req.method !== route.method) {
     throw new ApiError('method_not_allowed', `use ${route.method}`);
   }
@@ -164,7 +164,7 @@
     peer: 'caller',
     error: error instanceof Error ? (error.stack ?? error.message) : 'unknown',
   });
-  const message = 'internal error; see the log of this entry';
+  const message = 'an internal error; see the log';
   writeApiError(res, new ApiError('internal', message, {outcome: 'unknown'}));
   if (!res.writableEnded) res.destroy();
 }
--- a/packages/banyanfold-entry/src/plugins/idempotency.ts
+++ b/packages/banyanfold-entry/src/plugins/idempotency.ts
@@ -132,14 +132,10 @@
     const run = localRun?.kind === 'finished' ? localRun.run : finished;
     if (run) return {kind: 'answer', answer: recordedAnswer(job, run)};
     if (!localRun && !this.mayStillRun(job, key)) throw outcomeUnknownError();
-    throw new ApiError(
-      'key_in_progress',
-      'a request with this key is in progress',
-      {
-        outcome: 'unknown',
-        retryAfterMs: IN_PROGRESS_RETRY_MS,
-      },
-    );
+    throw new ApiError('key_in_progress', 'it is being run under this key', {
+      outcome: 'unknown',
+      retryAfterMs: IN_PROGRESS_RETRY_MS,
+    });
   }
 
   /**
@@ -165,9 +161,9 @@
     // run" the caller would wrongly conclude that nothing was done.
     return new ApiError(
       'log_unavailable',
-      'keys cannot be claimed now; this call ran nothing, but an earlier ' +
-        'call with the same key may have run; send it again with the same ' +
-        'key',
+      'keys cannot be claimed now; this call ran nothing, but whether an ' +
+        'earlier one with the same key ran is not known; send it again with ' +
+        'the same key',
       {outcome: 'unknown', retryAfterMs: LOG_RETRY_MS},
     );
   }
--- a/packages/banyanfold-entry/src/plugins/keyOutcome.ts
+++ b/packages/banyanfold-entry/src/plugins/keyOutcome.ts
@@ -65,7 +65,7 @@
   if (recorded?.body === undefined) {
     throw new ApiError(
       'key_already_finished',
-      `it already ran, with status ${run.status}; its answer isn't stored`,
+      `it ran already, with status ${run.status}; its answer isn't kept`,
       {outcome: 'unknown'},
     );
   }
@@ -83,8 +83,8 @@
 export function outcomeUnknownError(): ApiError {
   return new ApiError(
     'key_outcome_unknown',
-    'the request was already dispatched and its outcome is unknown; it will ' +
-      'not run again with this key',
+    'it was dispatched already and its outcome is not known; it will not run ' +
+      'again under this key',
     {outcome: 'unknown'},
   );
 }
--- a/packages/banyanfold-entry/src/requests/acceptRequest.ts
+++ b/packages/banyanfold-entry/src/requests/acceptRequest.ts
@@ -43,7 +43,7 @@
 export function requireConfig(context: EntryContext): CompiledConfig {
   const {configWatch} = context;
   if (configWatch.current && configWatch.ready) return configWatch.current;
-  throw new ApiError('not_ready', 'this entry has no configuration yet', {
+  throw new ApiError('not_ready', 'no configuration is known here yet', {
     retryAfterMs: NOT_READY_RETRY_AFTER_MS,
   });
 }
@@ -71,8 +71,8 @@
   if (desk !== caller.desk && !caller.otherDesks.includes(desk)) {
     throw new ApiError(
       'not_allowed',
-      `the key may not use the desk "${desk}"; use one that its settings ` +
-        'list',
+      `the key may not ask for the desk "${desk}"; its settings list those ` +
+        'it may name',
     );
   }
   return {caller: caller.name, desk, headers};
@@ -126,7 +126,7 @@
     const wanted = isService ? 'service' : 'model';
     throw new ApiError(
       'model_not_found',
-      `"${requestedName}" is a ${target.kind}, not a ${wanted}`,
+      `"${requestedName}" is a ${target.kind} and no ${wanted}`,
     );
   }
   return target;
